--- a/siskinroad/work/headroom.py
+++ b/siskinroad/work/headroom.py
@@ -1,8 +1,8 @@
-"""Processors kept free for urgent work, learned from its own demand.
+"""Processor headroom kept free for urgent work, learned from its demand.
 
-Load that this answers: short urgent steps that arrive in bursts while long
-paperwork fills every gap as soon as it opens. Stopping paperwork frees its room
-only after the host's grace, which is longer than an urgent step may wait.
+Short urgent steps arrive in bursts, while long work that is not urgent fills every
+gap as soon as it opens. Stopping that work frees its processors only after the host's
+stop grace, which is longer than an urgent step may wait.
 """
 
 from __future__ import annotations
@@ -11,41 +11,44 @@
 
 __all__ = ["UrgentRoom"]
 
-# Seconds in which a peak of urgent demand loses half of its weight.
-PEAK_HALF_LIFE = 10.0
-# Part of the learned peak that is kept free, and the most of the pool.
-KEPT_PART = 0.8
-MOST_KEPT = 0.4
+# Seconds in which a peak of urgent demand decays by half.
+PEAK_HALF_LIFE_S = 10.0
+# Fraction of the learned peak that is kept for urgent tasks, and the largest fraction
+# of the pool's processors that may be.
+KEPT_PEAK_FRACTION = 0.8
+MAX_KEPT_FRACTION = 0.4
 
 
 @dataclass(slots=True)
 class UrgentRoom:
-    """A decaying peak of what urgent tasks hold and wait for, in processors.
+    """Decaying peak of the processors that urgent tasks hold and wait for.
 
     Attributes
     ----------
     peak : float
         Thousandths of a processor.
+    observed_at : float
+        Loop time in seconds of the newest observation.
     """
 
     peak: float = 0.0
-    at: float = 0.0
+    observed_at: float = 0.0
 
     def observe(self, demand: float, now: float) -> None:
-        """Take in what urgent tasks hold and wait for now."""
-        faded = self.peak * 0.5 ** ((now - self.at) / PEAK_HALF_LIFE)
-        self.peak = max(demand, faded)
-        self.at = now
+        """Update the peak with the current demand, in thousandths of a processor."""
+        decayed_peak = self.peak * 0.5 ** ((now - self.observed_at) / PEAK_HALF_LIFE_S)
+        self.peak = max(demand, decayed_peak)
+        self.observed_at = now
 
-    def keep(self, capacity: float, held: float) -> float:
-        """Return what less urgent work has to leave free.
+    def compute_headroom(self, capacity: float, urgent_used: float) -> float:
+        """Return the thousandths of a processor that other work has to leave free.
 
         Parameters
         ----------
         capacity : float
-            All processors of the pool.
-        held : float
-            What urgent tasks hold already.
+            Thousandths of a processor of the whole pool.
+        urgent_used : float
+            Thousandths of a processor that urgent tasks hold already.
         """
-        wanted = min(self.peak * KEPT_PART, capacity * MOST_KEPT)
-        return max(0.0, wanted - held)
+        wanted = min(self.peak * KEPT_PEAK_FRACTION, capacity * MAX_KEPT_FRACTION)
+        return max(0.0, wanted - urgent_used)
--- a/siskinroad/work/plan.py
+++ b/siskinroad/work/plan.py
@@ -1,4 +1,4 @@
-"""What one plan of a pool works with: its room, its choices, and what fits where."""
+"""Working state of one planning pass over a pool, and checks of what fits where."""
 
 from __future__ import annotations
 
@@ -14,36 +14,37 @@
 __all__ = [
     "Plan",
     "Trial",
-    "allows",
-    "avoids",
     "can_hold",
+    "compute_available_after_stops",
+    "compute_shortfall",
     "is_large",
-    "missing",
-    "room_soon",
+    "step_allows_host",
+    "task_avoids_host",
 ]
 
-# Seconds for which a task keeps off a host where it failed.
-AVOID_TIME = 1.5
-# Part of a host that makes a task large: single tasks fill such gaps first.
-LARGE_PART = 0.5
+# Seconds for which a task is not placed again on a host where it failed.
+AVOID_FAILED_HOST_S = 1.5
+# Fraction of a host from which a task counts as large: gaps of that size are filled by
+# small tasks first, so that a large one may never find room.
+LARGE_TASK_FRACTION = 0.5
 
 
 @dataclass(slots=True)
 class Plan:
-    """Room left while one plan is made.
+    """Working state of one planning pass.
 
     Attributes
     ----------
     demand : dict of str to float
-        How much of each host the waiting steps want.
-    lent : float
-        Thousandths of a processor that less urgent work may yet take.
-    closed : set of str
-        Hosts that are kept for blocked gangs.
+        Demand of the waiting steps for each host, in whole hosts.
+    non_urgent_cpu_milli : float
+        Thousandths of a processor that steps that are not urgent may still take.
+    excluded_hosts : set of str
+        Hosts that are kept for a blocked large step.
     renewed : int
-        Blocked steps whose tickets this plan renews.
+        Number of blocked steps whose tickets this pass renews.
     lines : LineTimes or None
-        When the lines to the advisor are free; None for at any time.
+        When the advisor channels are free; None if they always are.
     """
 
     book: Book
@@ -51,8 +52,8 @@
     wall: float
     hosts: list[Host]
     demand: dict[str, float]
-    lent: float = 0.0
-    closed: set[str] = field(default_factory=set)
+    non_urgent_cpu_milli: float = 0.0
+    excluded_hosts: set[str] = field(default_factory=set)
     renewed: int = 0
     lines: LineTimes | None = None
     effects: list[Effect] = field(default_factory=list)
@@ -60,63 +61,77 @@
 
 @dataclass(slots=True)
 class Trial:
-    """Hosts chosen for tasks of one step, before anything is given."""
+    """Tentative placement: hosts chosen for tasks of a step, before any is started.
+
+    Attributes
+    ----------
+    chosen : list of tuple of Task and Host
+        Each placed task with its host.
+    counts : dict of str to int
+        Number of tasks placed on each host.
+    """
 
     chosen: list[tuple[Task, Host]] = field(default_factory=list)
     counts: dict[str, int] = field(default_factory=dict)
 
 
-def avoids(task: Task, host: Host, now: float) -> bool:
-    """Return whether a task failed there a moment ago; later it may go back.
+def task_avoids_host(task: Task, host: Host, now: float) -> bool:
+    """Return whether a task must not be placed on a host now.
 
-    The host may be the only one that is allowed, or that has room. Two copies of a
-    task never go to the same host.
+    A task is kept off a host where it failed for ``AVOID_FAILED_HOST_S`` only: the host
+    may be the only one that is allowed or has free capacity. A speculative copy never
+    goes to the host of the older run.
     """
     if host.name == task.older:
         return True
     failed_at = task.avoid.get(host.name)
-    return failed_at is not None and now - failed_at < AVOID_TIME
+    return failed_at is not None and now - failed_at < AVOID_FAILED_HOST_S
 
 
 def can_hold(host: Host, step: StepRun) -> bool:
-    """Return whether the empty host could hold a task of the step."""
+    """Return whether the host, if it were empty, could hold a task of the step."""
     spec = step.spec
     if spec.label and spec.label not in host.entry.labels:
         return False
     return spec.need.fits(host.entry.capacity)
 
 
-def allows(step: StepRun, host: Host, trial: Trial) -> bool:
-    """Return whether the step may have one more task on the host."""
+def step_allows_host(step: StepRun, host: Host, placement: Trial) -> bool:
+    """Return whether label and spread let the step place one more task on the host."""
     spec = step.spec
     if spec.label and spec.label not in host.entry.labels:
         return False
     if not spec.spread:
         return True
-    count = step.by_host.get(host.name, 0) + trial.counts.get(host.name, 0)
+    count = step.by_host.get(host.name, 0) + placement.counts.get(host.name, 0)
     return count < spec.spread
 
 
 def is_large(plan: Plan, step: StepRun) -> bool:
-    """Return whether a task of the step needs most of a host."""
-    rooms = [host.entry.capacity for host in plan.hosts if can_hold(host, step)]
-    return any(step.spec.need.dominant(room) >= LARGE_PART for room in rooms)
+    """Return whether a task of the step needs a large fraction of some host."""
+    capacities = [host.entry.capacity for host in plan.hosts if can_hold(host, step)]
+    return any(
+        step.spec.need.dominant(total) >= LARGE_TASK_FRACTION for total in capacities
+    )
 
 
-def room_soon(host: Host, step: StepRun, now: float) -> Resources:
-    """Return the room of a host once what is being stopped there has ended."""
-    room = host.free(step.key, now)
+def compute_available_after_stops(host: Host, step: StepRun, now: float) -> Resources:
+    """Return the free capacity of a host once the runs being stopped have ended."""
+    available = host.free(step.key, now)
     for run in host.runs.values():
         if run.state in ("stopping", "withdrawn"):
-            room = room + run.need
-    return room
+            available = available + run.need
+    return available
+
 
+def compute_shortfall(available: Resources, step: StepRun) -> float:
+    """Return how far a host's free capacity is from fitting one task of the step.
 
-def missing(room: Resources, step: StepRun) -> float:
-    """Return how far a host's room is from holding one task of the step."""
+    The result is a rank without a unit; a missing accelerator outweighs all else.
+    """
     need = step.spec.need
     return (
-        max(0, need.accelerators - room.accelerators) * 1000
-        + max(0, need.cpu_milli - room.cpu_milli) / 1000
-        + max(0, need.memory_mib - room.memory_mib) / 10000
+        max(0, need.accelerators - available.accelerators) * 1000
+        + max(0, need.cpu_milli - available.cpu_milli) / 1000
+        + max(0, need.memory_mib - available.memory_mib) / 10000
     )
--- a/siskinroad/work/planner.py
+++ b/siskinroad/work/planner.py
@@ -1,9 +1,9 @@
-"""Which waiting tasks start where.
+"""Scheduler that places the waiting tasks of a pool on its hosts.
 
-Loads that this answers: short urgent steps beside long wide ones (order by
-priority, then by objective); gangs beside single tasks that would fill every gap
-(one blocked large step closes the hosts that will fit it first, and stops less
-urgent work there that goes on from a checkpoint).
+Steps are ordered by priority and then by objective, so that short urgent steps do
+not queue behind long wide ones. Single tasks would fill every gap before a gang fits:
+one blocked large step therefore excludes later steps from the hosts that will fit it
+first, and preempts less urgent runs there that can resume from a checkpoint.
 """
 
 from __future__ import annotations
@@ -22,78 +22,80 @@
 from siskinroad.work.plan import (
     Plan,
     Trial,
-    allows,
-    avoids,
     can_hold,
+    compute_available_after_stops,
+    compute_shortfall,
     is_large,
-    missing,
-    room_soon,
+    step_allows_host,
+    task_avoids_host,
 )
 
 __all__ = ["Planner"]
 
-# Part of its declared time in which a step may end: declarations are rough.
-EARLIEST_PART = 0.8
-# Times its objective after which a job is worth nothing more to its users.
-LATE_FACTOR = 3.0
-# Part of a host's room, in demand of others, that makes a difference of one in
-# the choice between hosts.
-DEMAND_STEP = 0.5
-# Part of a pool's hosts that a blocked step may close to later work.
-MAX_CLOSED_PART = 0.5
-# Seconds of work left below which nothing is stopped for more urgent work: a stop
-# and the start from the checkpoint take nearly as long.
-MIN_PREEMPTED = 1.5
-# Runs of a task after which it is left alone.
-MOST_RUNS = 4
+# Fraction of its predicted time in which a step may already end: declared times are
+# rough, and a larger value calls steps late that can still meet their objective.
+EARLIEST_END_FRACTION = 0.8
+# Multiple of the time that its objective allows after which a job has no value left
+# for its users.
+WORTHLESS_FACTOR = 3.0
+# Demand of other steps, as a fraction of a host's capacity, that adds one to the
+# host's cost.
+DEMAND_QUANTUM = 0.5
+# Largest fraction of a pool's hosts from which a blocked step may exclude later steps.
+MAX_EXCLUDED_FRACTION = 0.5
+# Seconds of work left up to which a run is not preempted: stopping it and starting it
+# from its checkpoint take nearly as long.
+MIN_PREEMPTED_S = 1.5
+# Highest run number that may be preempted; it bounds how often one task is stopped.
+MAX_PREEMPTIBLE_RUN = 4
 
 log = logging.getLogger("siskinroad.planner")
 
 
 class Planner:
-    """Places the waiting tasks of a book.
+    """Scheduler of one pool's waiting tasks.
 
     Parameters
     ----------
     book : Book
-        What is known of the pool.
+        State of the pool.
     """
 
     def __init__(self, book: Book) -> None:
         self.book = book
-        self.urgent = UrgentRoom()
-        self.asker = Asker(book)
+        self.urgent_headroom = UrgentRoom()
+        self.advice_requester = Asker(book)
 
     def plan(
         self, now: float, wall: float, lines: LineTimes | None = None
     ) -> list[Effect]:
-        """Start what fits, in order of urgency, and ask for advice.
+        """Start the tasks that fit, most urgent step first, and request advice.
 
         Parameters
         ----------
         lines : LineTimes, optional
-            When the lines to the advisor are free.
+            When the advisor channels are free; None if they always are.
         """
         hosts = [host for host in self.book.hosts.values() if host.open(now)]
         steps = [s for s in self.book.ready.values() if not s.job.closed]
-        demand = _demand(steps, hosts)
+        demand = _compute_demand(steps, hosts)
         plan = Plan(self.book, now, wall, hosts, demand, lines=lines)
-        plan.lent = self._room_for_others(steps, hosts, now)
-        steps.sort(key=lambda s: self._urgency(s, wall))
+        plan.non_urgent_cpu_milli = self._compute_non_urgent_cpu(steps, hosts, now)
+        steps.sort(key=lambda s: self._rank_step(s, wall))
         for step in steps:
             self._plan_step(plan, step)
-        self.asker.look_ahead(plan)
+        self.advice_requester.look_ahead(plan)
         return plan.effects
 
     def _is_urgent(self, queue_name: str) -> bool:
         queue = self.book.queues.get(queue_name)
         return queue is not None and queue.priority == 0
 
-    def _room_for_others(
+    def _compute_non_urgent_cpu(
         self, steps: list[StepRun], hosts: list[Host], now: float
     ) -> float:
-        """Return the processors that less urgent work may take in this plan."""
-        held = sum(
+        """Return the thousandths of a processor left to steps that are not urgent."""
+        urgent_used = sum(
             run.need.cpu_milli
             for host in hosts
             for run in host.runs.values()
@@ -104,27 +106,32 @@
             for step in steps
             if self._is_urgent(step.job.queue)
         )
-        self.urgent.observe(held + waiting, now)
+        self.urgent_headroom.observe(urgent_used + waiting, now)
         capacity = sum(host.entry.capacity.cpu_milli for host in hosts)
         used = sum(host.used.cpu_milli for host in hosts)
-        return capacity - used - self.urgent.keep(capacity, held)
+        return (
+            capacity
+            - used
+            - self.urgent_headroom.compute_headroom(capacity, urgent_used)
+        )
 
-    def _urgency(self, step: StepRun, wall: float) -> tuple[int, int, float]:
-        """Return the order of a step: what can still be in time comes first.
+    def _rank_step(self, step: StepRun, wall: float) -> tuple[int, int, float]:
+        """Return the sort key of a step: priority, lateness, objective.
 
-        Under overload, earliest objective first would spend the room on work
-        that is late anyway, and so make the next one late too.
+        Steps that can still meet their objective come first. Under overload, the
+        earliest objective first would spend capacity on steps that are late anyway,
+        and so make the next ones late too.
         """
         job = step.job
         queue = self.book.queues.get(job.queue)
-        left = job.tails[step.number] * self.book.speeds.factor(job.queue)
-        ends = wall + EARLIEST_PART * left
+        remaining_s = job.tails[step.number] * self.book.speeds.factor(job.queue)
+        earliest_end = wall + EARLIEST_END_FRACTION * remaining_s
         objective = self.book.objective(job, step.occurrence)
-        late = 0
-        if ends > objective:
-            worthless = objective + (LATE_FACTOR - 1) * self.book.allowed(job)
-            late = 1 if ends < worthless else 2
-        return (queue.priority if queue else 9, late, objective)
+        lateness = 0
+        if earliest_end > objective:
+            worthless_at = objective + (WORTHLESS_FACTOR - 1) * self.book.allowed(job)
+            lateness = 1 if earliest_end < worthless_at else 2
+        return (queue.priority if queue else 9, lateness, objective)
 
     def _plan_step(self, plan: Plan, step: StepRun) -> None:
         waiting = step.waiting()
@@ -134,19 +141,21 @@
         if step.spec.gang and len(waiting) < len(step.tasks):
             return
         advice = queue.advice
-        if advice is not None and not self.asker.is_advised(plan, step, advice):
+        if advice is not None and not self.advice_requester.is_advised(
+            plan, step, advice
+        ):
             return
-        trial = self._place(plan, step, waiting, queue)
-        if trial is None:
-            self._make_room(plan, step, queue)
+        placement = self._try_placement(plan, step, waiting, queue)
+        if placement is None:
+            self._free_hosts(plan, step, queue)
             if advice is not None:
-                self.asker.renew_ahead(plan, step, advice)
+                self.advice_requester.renew_ahead(plan, step, advice)
             return
-        self._carry_out(plan, step, trial, queue)
+        self._start_tasks(plan, step, placement, queue)
 
     # Placement
 
-    def _place(
+    def _try_placement(
         self, plan: Plan, step: StepRun, waiting: list[Task], queue: Queue
     ) -> Trial | None:
         """Choose a host for each task, or for as many as fit.
@@ -154,95 +163,107 @@
         Returns
         -------
         Trial or None
-            None if nothing fits, or not the whole gang.
+            None if no task fits, or not the whole gang.
         """
         hosts = plan.hosts
         if queue.advice is not None:
             hosts = [h for h in hosts if h.name in step.tickets]
-        hosts = [h for h in hosts if h.name not in plan.closed]
-        trial = Trial()
+        hosts = [h for h in hosts if h.name not in plan.excluded_hosts]
+        placement = Trial()
         bounded = queue.priority > 0 and not step.spec.long_running
-        lent = plan.lent if bounded else float("inf")
-        rooms = {h.name: h.free(step.key, plan.now) for h in hosts}
+        non_urgent_cpu_milli = plan.non_urgent_cpu_milli if bounded else float("inf")
+        available_by_host = {h.name: h.free(step.key, plan.now) for h in hosts}
         for task in waiting:
-            if step.spec.need.cpu_milli > lent:
-                return None if step.spec.gang or not trial.chosen else trial
-            host = self._choose(plan, step, task, hosts, rooms, trial)
+            if step.spec.need.cpu_milli > non_urgent_cpu_milli:
+                return None if step.spec.gang or not placement.chosen else placement
+            host = self._choose_host(
+                plan, step, task, hosts, available_by_host, placement
+            )
             if host is None:
                 if step.spec.gang:
                     return None
                 continue
-            rooms[host.name] = rooms[host.name] - step.spec.need
-            lent -= step.spec.need.cpu_milli
-            trial.counts[host.name] = trial.counts.get(host.name, 0) + 1
-            trial.chosen.append((task, host))
-        return trial if trial.chosen else None
+            available_by_host[host.name] = available_by_host[host.name] - step.spec.need
+            non_urgent_cpu_milli -= step.spec.need.cpu_milli
+            placement.counts[host.name] = placement.counts.get(host.name, 0) + 1
+            placement.chosen.append((task, host))
+        return placement if placement.chosen else None
 
-    def _choose(
+    def _choose_host(
         self,
         plan: Plan,
         step: StepRun,
         task: Task,
         hosts: list[Host],
-        rooms: dict[str, Resources],
-        trial: Trial,
+        available_by_host: dict[str, Resources],
+        placement: Trial,
     ) -> Host | None:
+        """Return the cheapest host that fits one more task; None if none does."""
         need = step.spec.need
         best: Host | None = None
         best_cost: tuple[float, ...] = ()
         for host in hosts:
-            room = rooms[host.name]
-            if not need.fits(room) or avoids(task, host, plan.now):
+            available = available_by_host[host.name]
+            if not need.fits(available) or task_avoids_host(task, host, plan.now):
                 continue
-            if not allows(step, host, trial):
+            if not step_allows_host(step, host, placement):
                 continue
-            again = host.name in task.avoid
-            cost = (again, *_cost(plan, step, host, room, trial))
+            has_failed_here = host.name in task.avoid
+            cost = (
+                has_failed_here,
+                *_compute_cost(plan, step, host, available, placement),
+            )
             if best is None or cost < best_cost:
                 best, best_cost = host, cost
         return best
 
-    def _make_room(self, plan: Plan, step: StepRun, queue: Queue) -> None:
-        """Keep later work off the hosts that will fit a blocked large step first.
+    def _free_hosts(self, plan: Plan, step: StepRun, queue: Queue) -> None:
+        """Exclude later steps from the hosts that will fit a blocked large step first.
 
-        One step at a time does so, the most urgent that can still be in time:
-        hosts that are kept for several at once stand idle for most of them.
+        Only one step per plan does so, the most urgent that can still meet its
+        objective: hosts kept for several steps at once would be idle most of the time.
         """
         large = step.spec.gang or is_large(plan, step)
-        if plan.closed or not large or self._urgency(step, plan.wall)[1]:
+        if plan.excluded_hosts or not large or self._rank_step(step, plan.wall)[1]:
             return
-        able = [h for h in plan.hosts if can_hold(h, step)]
+        capable_hosts = [h for h in plan.hosts if can_hold(h, step)]
         if queue.advice is not None:
-            able = [h for h in able if h.name in step.tickets]
-        able.sort(key=lambda h: missing(room_soon(h, step, plan.now), step))
+            capable_hosts = [h for h in capable_hosts if h.name in step.tickets]
+        capable_hosts.sort(
+            key=lambda h: compute_shortfall(
+                compute_available_after_stops(h, step, plan.now), step
+            )
+        )
         count = len(step.waiting())
-        most = max(1, int(len(plan.hosts) * MAX_CLOSED_PART))
-        if step.spec.gang and count > most:
+        max_hosts = max(1, int(len(plan.hosts) * MAX_EXCLUDED_FRACTION))
+        if step.spec.gang and count > max_hosts:
             return
-        for host in able[: min(count, most)]:
-            plan.closed.add(host.name)
-            self._preempt(plan, step, host, queue)
+        for host in capable_hosts[: min(count, max_hosts)]:
+            plan.excluded_hosts.add(host.name)
+            self._preempt_runs(plan, step, host, queue)
 
-    def _preempt(self, plan: Plan, step: StepRun, host: Host, queue: Queue) -> None:
-        """Stop less urgent work that goes on from its checkpoint elsewhere.
+    def _preempt_runs(
+        self, plan: Plan, step: StepRun, host: Host, queue: Queue
+    ) -> None:
+        """Stop less urgent runs on a host that can resume from a checkpoint elsewhere.
 
-        Only as much as makes the step fit, and only what would hold its room
-        for clearly longer than a stop takes.
+        Stops only as many as the step needs to fit, and only runs that would hold
+        their resources for clearly longer than a stop takes.
         """
-        room = room_soon(host, step, plan.now)
+        available = compute_available_after_stops(host, step, plan.now)
         chosen: list[Run] = []
-        runs = [r for r in host.runs.values() if self._may_preempt(plan, r, queue)]
+        runs = [r for r in host.runs.values() if self._is_preemptible(plan, r, queue)]
         for run in sorted(runs, key=lambda r: r.begun_at, reverse=True):
-            if step.spec.need.fits(room):
+            if step.spec.need.fits(available):
                 break
-            room = room + run.need
+            available = available + run.need
             chosen.append(run)
-        if not step.spec.need.fits(room):
+        if not step.spec.need.fits(available):
             return
         for run in chosen:
             plan.effects += self.book.stop(host, run, "preempted")
 
-    def _may_preempt(self, plan: Plan, run: Run, queue: Queue) -> bool:
+    def _is_preemptible(self, plan: Plan, run: Run, queue: Queue) -> bool:
         other = self.book.queues.get(run.queue)
         step = self.book.step(run.key[0])
         if other is None or step is None or other.priority <= queue.priority:
@@ -250,37 +271,44 @@
         spec = step.spec
         if not spec.checkpoints or spec.gang or spec.long_running:
             return False
-        left = run.declared * (100 - run.progress) / 100
-        fresh = run.key[1] <= MOST_RUNS
-        return run.state == "running" and fresh and left > MIN_PREEMPTED
+        remaining_s = run.declared * (100 - run.progress) / 100
+        is_below_run_limit = run.key[1] <= MAX_PREEMPTIBLE_RUN
+        return (
+            run.state == "running"
+            and is_below_run_limit
+            and remaining_s > MIN_PREEMPTED_S
+        )
 
-    # Effects
+    # Start commands
 
-    def _carry_out(self, plan: Plan, step: StepRun, trial: Trial, queue: Queue) -> None:
+    def _start_tasks(
+        self, plan: Plan, step: StepRun, placement: Trial, queue: Queue
+    ) -> None:
         stale: list[Host] = []
         if queue.advice is not None:
-            hosts = [host for _, host in trial.chosen]
-            stale = self.asker.without_ticket(step, hosts, plan.now)
+            hosts = [host for _, host in placement.chosen]
+            stale = self.advice_requester.without_ticket(step, hosts, plan.now)
             if stale and step.spec.gang:
-                self.asker.renew(plan, step, trial, queue.advice, hosts)
+                self.advice_requester.renew(plan, step, placement, queue.advice, hosts)
                 return
             if stale:
-                self.asker.renew(plan, step, trial, queue.advice, stale)
-        barred = {host.name for host in stale}
-        chosen = [(t, h) for t, h in trial.chosen if h.name not in barred]
-        number = max(task.run for task in step.tasks) + 1 if step.spec.gang else 0
+                self.advice_requester.renew(plan, step, placement, queue.advice, stale)
+        stale_names = {host.name for host in stale}
+        chosen = [(t, h) for t, h in placement.chosen if h.name not in stale_names]
+        # The runs of a gang share one number; 0 for single tasks.
+        run_number = max(task.run for task in step.tasks) + 1 if step.spec.gang else 0
         for task, host in chosen:
-            self._start(plan, step, task, host, number or task.run + 1)
+            self._start_task(plan, step, task, host, run_number or task.run + 1)
 
-    def _start(
-        self, plan: Plan, step: StepRun, task: Task, host: Host, number: int
+    def _start_task(
+        self, plan: Plan, step: StepRun, task: Task, host: Host, run_number: int
     ) -> None:
-        run = step.make_run(task, number, host.token, plan.now)
-        task.run = number
+        run = step.make_run(task, run_number, host.token, plan.now)
+        task.run = run_number
         task.host = host.name
         task.move("order")
         host.reserved.pop(step.key, None)
-        plan.lent -= step.spec.need.cpu_milli
+        plan.non_urgent_cpu_milli -= step.spec.need.cpu_milli
         host.add(run)
         step.by_host[host.name] = step.by_host.get(host.name, 0) + 1
         ticket = step.tickets.get(host.name, ("", 0.0))[0]
@@ -288,57 +316,65 @@
         plan.effects.append(StartRun(host.name, run, payload, task.checkpoint, ticket))
 
 
-def _demand(steps: list[StepRun], hosts: list[Host]) -> dict[str, float]:
-    """Return how much of each host the waiting steps want.
+def _compute_demand(steps: list[StepRun], hosts: list[Host]) -> dict[str, float]:
+    """Return the demand of the waiting steps for each host, in whole hosts.
 
-    A step spreads its demand over the hosts that it may use, so that one with a
-    single allowed host weighs most there.
+    A step's demand is spread evenly over the hosts that it may use, so that a step
+    with a single allowed host counts in full there.
     """
     demand = {host.name: 0.0 for host in hosts}
-    rooms = {host.name: host.entry.capacity for host in hosts}
+    capacities = {host.name: host.entry.capacity for host in hosts}
     for step in steps:
         names = [name for name in step.tickets if name in demand]
         if not names:
             continue
         count = len(step.waiting()) / len(names)
         for name in names:
-            demand[name] += count * step.spec.need.dominant(rooms[name])
+            demand[name] += count * step.spec.need.dominant(capacities[name])
     return demand
 
 
-def _others_demand(plan: Plan, step: StepRun, host: Host) -> int:
-    """Return the demand of other steps for a host, in whole steps."""
+def _compute_other_demand(plan: Plan, step: StepRun, host: Host) -> int:
+    """Return the demand of other steps for a host, in whole ``DEMAND_QUANTUM``."""
     names = [name for name in step.tickets if name in plan.demand]
     own = 0.0
     if host.name in names:
         share = step.spec.need.dominant(host.entry.capacity)
         own = len(step.waiting()) / len(names) * share
-    return int((plan.demand.get(host.name, 0.0) - own) / DEMAND_STEP)
+    return int((plan.demand.get(host.name, 0.0) - own) / DEMAND_QUANTUM)
 
 
-def _cost(
-    plan: Plan, step: StepRun, host: Host, room: Resources, trial: Trial
+def _compute_cost(
+    plan: Plan, step: StepRun, host: Host, available: Resources, placement: Trial
 ) -> tuple[float, ...]:
-    """Return what a host costs as a place for a task; the least is taken.
+    """Return the cost of placing a task on a host, as a tuple; the lowest wins.
 
-    Work that its users feel when it is disturbed keeps away from fillers, and
-    fillers from it. A gang that is slow across racks stays where it began.
+    Serving and long-running tasks, whose users notice a disturbance, are kept apart
+    from best-effort tasks. A gang that is slow across racks stays in the rack of its
+    first task.
     """
     spec = step.spec
-    far = 1.0 if spec.data_rack and host.entry.rack != spec.data_rack else 0.0
-    if spec.one_rack and trial.chosen:
-        far += host.entry.rack != trial.chosen[0][1].entry.rack
+    rack_penalty = 1.0 if spec.data_rack and host.entry.rack != spec.data_rack else 0.0
+    if spec.one_rack and placement.chosen:
+        rack_penalty += host.entry.rack != placement.chosen[0][1].entry.rack
     if spec.filler:
-        serving = sum(1 for run in host.runs.values() if run.tail_limit)
-        fillers = sum(1 for run in host.runs.values() if run.filler)
-        fillers += trial.counts.get(host.name, 0)
-        return (far, serving, fillers, -room.cpu_milli)
+        serving_runs = sum(1 for run in host.runs.values() if run.tail_limit)
+        best_effort_runs = sum(1 for run in host.runs.values() if run.filler)
+        best_effort_runs += placement.counts.get(host.name, 0)
+        return (rack_penalty, serving_runs, best_effort_runs, -available.cpu_milli)
     if spec.tail_limit or spec.long_running:
-        fillers = sum(1 for run in host.runs.values() if run.filler)
-        same = step.by_host.get(host.name, 0) + trial.counts.get(host.name, 0)
-        return (far, fillers, same, -room.cpu_milli)
-    # Hosts that others need more are left to them. Gaps are filled from the
-    # tightest, so that whole hosts stay free for large work.
-    wanted = _others_demand(plan, step, host)
-    left = room.cpu_milli - spec.need.cpu_milli
-    return (far, wanted, room.accelerators - spec.accelerators, left)
+        best_effort_runs = sum(1 for run in host.runs.values() if run.filler)
+        same_step_runs = step.by_host.get(host.name, 0) + placement.counts.get(
+            host.name, 0
+        )
+        return (rack_penalty, best_effort_runs, same_step_runs, -available.cpu_milli)
+    # Hosts that other steps need more are left to them. The tightest gap is filled
+    # first, so that whole hosts stay free for large tasks.
+    other_demand = _compute_other_demand(plan, step, host)
+    cpu_left = available.cpu_milli - spec.need.cpu_milli
+    return (
+        rack_penalty,
+        other_demand,
+        available.accelerators - spec.accelerators,
+        cpu_left,
+    )
--- a/tests/work/test_planner.py
+++ b/tests/work/test_planner.py
@@ -1,4 +1,4 @@
-"""What is placed where under the loads that the planner names."""
+"""Tests of task placement: priority, objectives, gangs, advice and preemption."""
 
 import pytest
 
@@ -11,6 +11,7 @@
 
 
 def make(hosts, **entries):
+    """Return the state of a pool whose hosts have replied and can be used."""
     book = Book(POOL, 1)
     book.settled = True
     book.configure(SETUP)
@@ -23,6 +24,7 @@
 
 
 def add(book, name, spec, queue="fast", at=0.0):
+    """Submit a job and return it."""
     book.accept(Accepted(name, queue, POOL, at, spec), 0.0, at, fresh=True)
     return book.jobs[name]
 
@@ -32,58 +34,61 @@
 
 
 def started(effects):
+    """Return the job and host of each start command."""
     return [(e.run.key[0].job, e.host) for e in effects if isinstance(e, StartRun)]
 
 
-def allow(job_, *hosts, until=100.0, step_=0):
-    run = job_.steps[0, step_]
-    run.asked.update(hosts)
+def allow(accepted_job, *hosts, until=100.0, step_=0):
+    """Give a step of a job a ticket for each of the hosts."""
+    step_run = accepted_job.steps[0, step_]
+    step_run.asked.update(hosts)
     for host in hosts:
-        run.tickets[host] = (f"t-{host}", until)
+        step_run.tickets[host] = (f"t-{host}", until)
 
 
-def test_urgent_work_goes_before_older_paperwork():
+def test_urgent_steps_are_placed_before_older_steps_of_lower_priority():
     book = make(["i-0"])
     add(book, "paper", job(step(1, cpu_milli=20000)), "slow")
     add(book, "urgent", job(step(1, cpu_milli=20000)), "fast")
     assert started(plan(book)) == [("urgent", "i-0")]
 
 
-def test_work_that_is_late_anyway_makes_no_other_work_late():
+def test_steps_past_their_objective_do_not_delay_steps_that_can_meet_theirs():
     book = make(["i-0"])
     add(book, "late", job(step(1, cpu_milli=20000)), "fast", at=-5.0)
     add(book, "young", job(step(1, cpu_milli=20000)), "fast", at=0.0)
     assert started(plan(book)) == [("young", "i-0")]
 
 
-def test_work_that_takes_longer_than_declared_is_late_only_by_its_true_length():
-    # Load: a queue whose tasks take twice their declared second, all day.
+def test_lateness_uses_learned_rather_than_declared_run_times():
+    # The tasks of this queue take 2 s, twice their declared time: judged by the
+    # declared time, the older job would count as late and lose its place.
     book = make(["i-0"])
     for _ in range(20):
         book.speeds.ended("fast", 1.0, 2.0)
     add(book, "older", job(step(1, cpu_milli=20000)), "fast", at=-1.6)
     add(book, "younger", job(step(1, cpu_milli=20000)), "fast", at=0.0)
     assert started(plan(book)) == [("older", "i-0")]
-    # 1.5 times two seconds of work, and 0.4 s more.
+    # 1.5 times 2 s of work, plus 0.4 s.
     assert book.objective(book.jobs["younger"]) == pytest.approx(3.4, abs=0.2)
 
 
-def test_the_objective_counts_a_question_for_each_step_and_the_due_time():
+def test_the_objective_includes_an_advice_request_per_step_and_the_due_time():
     book = make(["i-0"])
     spec = job(step(), step(after=(0,)), occurrences=3, first=100.0, interval=10.0)
     timed = add(book, "timed", spec, "advised")
-    # Twice two seconds of work and two questions of 0.4 s, and 1.2 s more.
+    # Twice 2 s of work and two advice requests of 0.4 s, plus 1.2 s.
     assert book.objective(timed, 2) == pytest.approx(120.0 + 2 * 2.8 + 1.2)
 
 
-def test_nothing_is_placed_beyond_any_dimension_of_a_host():
+def test_placement_exceeds_no_resource_of_a_host():
     book = make(["i-0"])
     add(book, "a", job(step(9, cpu_milli=1000, memory_mib=1, accelerators=3)))
     assert len(started(plan(book))) == 2
 
 
-def test_a_step_with_many_hosts_leaves_the_only_host_of_another_to_it():
-    # Load: advice that allows some steps one host only, at full accelerators.
+def test_a_step_with_several_allowed_hosts_avoids_the_only_host_of_another():
+    # Advice allows one of the steps a single host, and each needs all accelerators.
     book = make(["i-0", "i-1"])
     need = {"cpu_milli": 1000, "accelerators": 8}
     free = add(book, "free", job(step(1, **need)), "advised", at=-0.1)
@@ -93,8 +98,8 @@
     assert sorted(started(plan(book))) == [("bound", "i-0"), ("free", "i-1")]
 
 
-def test_a_blocked_gang_closes_hosts_to_later_single_tasks():
-    # Load: single tasks that would fill every gap before a gang finds one.
+def test_a_blocked_gang_excludes_later_single_tasks_from_its_hosts():
+    # Otherwise single tasks fill every gap before the gang fits.
     book = make(["i-0", "i-1"])
     add(book, "first", job(step(1, cpu_milli=30000)), "fast")
     assert started(plan(book)) == [("first", "i-0")]
@@ -104,7 +109,7 @@
     assert len(hosts) <= 1
 
 
-def test_a_step_asks_for_advice_once_and_then_for_what_it_needs():
+def test_advice_is_requested_once_and_renewed_only_for_the_chosen_hosts():
     book = make(["i-0", "i-1", "i-2"])
     one = add(book, "one", job(step(1, cpu_milli=30000)), "advised")
     (ask,) = plan(book)
@@ -114,19 +119,19 @@
     allow(one, "i-1", until=0.2)
     (again,) = plan(book, now=1.0)
     assert isinstance(again, AskAdvice) and again.hosts == ("i-1",)
-    # The room is kept for it until the answer.
+    # The capacity stays reserved for the step until the reply.
     add(book, "other", job(step(1, cpu_milli=30000)), "fast")
     assert ("other", "i-1") not in started(plan(book, now=1.1))
 
 
-def test_a_step_s_spread_bounds_its_tasks_on_one_host():
+def test_spread_limits_the_tasks_of_a_step_on_one_host():
     book = make(["i-0", "i-1"])
     add(book, "a", job(step(9, cpu_milli=100, spread=2)))
     hosts = [host for _, host in started(plan(book))]
     assert sorted(hosts) == ["i-0", "i-0", "i-1", "i-1"]
 
 
-def test_fillers_keep_away_from_tasks_that_serve():
+def test_best_effort_tasks_are_kept_apart_from_serving_tasks():
     book = make(["i-0", "i-1"])
     serving = step(1, long_running=True, tail_limit=0.2)
     add(book, "serve", job(serving), "fast")
@@ -135,14 +140,15 @@
     assert host not in {name for _, name in started(plan(book, 0.2))}
 
 
-def test_a_host_that_has_not_answered_of_late_gets_nothing():
+def test_a_host_without_a_recent_reply_gets_no_tasks():
     book = make(["i-0"])
     add(book, "a", job())
     assert started(plan(book, now=5.0)) == []
 
 
-def test_a_gang_goes_back_to_a_host_where_it_failed_rather_than_never_run():
-    # Load: a gang that advice allows on as many hosts as it has members.
+def test_a_gang_returns_to_a_host_where_it_failed_if_it_needs_every_host():
+    # The gang has as many tasks as hosts: if it avoided the host for good, it would
+    # never run.
     book = make(["i-0", "i-1"])
     gang = add(book, "g", job(step(2, cpu_milli=30000, gang=True)))
     for task in gang.steps[0, 0].tasks:
@@ -151,15 +157,15 @@
     assert len(started(plan(book, now=1.6))) == 2
 
 
-def test_a_task_goes_elsewhere_after_a_failure_while_there_is_an_elsewhere():
+def test_a_task_prefers_a_host_where_it_has_not_failed():
     book = make(["i-0", "i-1"])
     one = add(book, "g", job(step(1)))
     one.steps[0, 0].tasks[0].avoid["i-0"] = -9.0
     assert started(plan(book)) == [("g", "i-1")]
 
 
-def test_paperwork_leaves_room_for_the_urgent_work_that_comes_in_bursts():
-    # Load: bursts of short urgent steps beside paperwork that fills every gap.
+def test_headroom_is_kept_for_bursts_of_urgent_steps():
+    # Otherwise tasks of lower priority fill every gap between two bursts.
     book = make(["i-0", "i-1"])
     planner = Planner(book)
     add(book, "burst", job(step(6, cpu_milli=4000)), "fast")
@@ -175,14 +181,14 @@
     assert len(started(planner.plan(1.1, 1.1))) == 4
 
 
-def test_paperwork_has_the_whole_pool_while_nothing_urgent_comes():
+def test_other_work_may_use_the_whole_pool_without_urgent_demand():
     book = make(["i-0"])
     add(book, "paper", job(step(16, cpu_milli=2000)), "slow")
     assert len(started(plan(book))) == 16
 
 
-def test_less_urgent_work_goes_on_from_its_checkpoint_after_urgent_large_work():
-    # Load: single tasks on one accelerator each, beside renders that need eight.
+def test_runs_with_checkpoints_are_preempted_for_a_large_urgent_step():
+    # Single tasks hold one accelerator each, and the urgent task needs all eight.
     book = make(["i-0"])
     small = step(8, cpu_milli=1000, accelerators=1, checkpoints=True, estimate=5.0)
     add(book, "small", job(small), "slow")
@@ -194,7 +200,7 @@
     assert plan(book, 0.4, 0.4) == []
 
 
-def test_nothing_is_stopped_for_work_of_its_own_priority_or_that_is_nearly_done():
+def test_no_run_is_preempted_for_its_own_priority_or_when_nearly_done():
     book = make(["i-0"])
     near = step(1, cpu_milli=20000, checkpoints=True, estimate=1.0)
     add(book, "near", job(near), "slow")
