--- a/siskinroad/work/__init__.py
+++ b/siskinroad/work/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs of steps on upstream hosts that are shared through a platform's store."""
+"""Scheduling of multi-step jobs on upstream hosts, coordinated through a store."""
--- a/siskinroad/work/model.py
+++ b/siskinroad/work/model.py
@@ -1,4 +1,4 @@
-"""What callers ask for and what operators allow: jobs, queues and hosts."""
+"""Data model of jobs, queues, hosts and the platform's time limits."""
 
 from __future__ import annotations
 
@@ -21,40 +21,42 @@
 
 
 class Step(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A step of a job: ``count`` equal tasks.
+    """Step of a job: ``count`` equal tasks.
 
     Attributes
     ----------
     cpu_milli, memory_mib, accelerators : int
-        What one task takes; ``memory_mib`` is in the platform's megabytes.
+        Resources of one task; ``memory_mib`` is in the platform's megabytes.
     estimate : float
-        Declared run time of one task in seconds; rough.
+        Declared run time of one task in seconds; a rough estimate.
     after : tuple of int
-        Earlier steps whose tasks all end well first.
+        Indices of earlier steps whose tasks must all succeed first.
     gang : bool
-        The tasks work only together, and all run or none.
+        The tasks work only together: either all run or none.
     one_rack : bool
-        The gang is slower by ``Timing.remote_factor`` on more than one rack.
+        The gang is slower by ``Timing.remote_factor`` if it spans several racks.
     label : str
         Label that the host must have; empty for any.
     data_rack : str
-        Rack that holds the data; elsewhere a task is slower.
+        Rack that holds the data; a task is slower in any other; empty for any.
     spread : int
-        Most tasks of one occurrence on one host; 0 for any number.
+        Maximum number of tasks of one occurrence on one host; 0 for no limit.
     copies : bool
-        Copies of a task may run at the same time.
+        Speculative copies of a task may run at the same time.
     long_running : bool
         The tasks run until the job is cancelled.
     checkpoints : bool
-        A stopped task can go on from its last checkpoint.
+        A stopped task can resume from its last checkpoint.
     image : str
-        What the tasks run; tasks of one image behave alike.
+        Image that the tasks run; tasks of one image behave alike.
     tail_limit : float
-        Bound in seconds of a serving task's response tail; 0 if it serves none.
+        Bound in seconds on the response tail of a serving task; 0 if it does not
+        serve requests.
     filler : bool
-        Takes only processors that other tasks leave unused.
+        Best-effort task: uses only processors that other tasks leave idle.
     max_away : int
-        Tasks of a long-running step that may be away through our own actions.
+        Maximum number of tasks of a long-running step that may be down at once through
+        actions of the system itself.
     """
 
     count: int
@@ -78,20 +80,20 @@
 
     @property
     def need(self) -> Resources:
-        """What one task takes of a host; a filler takes no processor."""
+        """Resources that one task allocates; a best-effort task takes no processor."""
         cpu = 0 if self.filler else self.cpu_milli
         return Resources(cpu, self.memory_mib, self.accelerators, 0)
 
 
 class JobSpec(msgspec.Struct, frozen=True, omit_defaults=True):
-    """A job as its caller describes it.
+    """Job as its caller describes it.
 
     Attributes
     ----------
     payload : str
-        Handed to every task.
+        Data passed to every task.
     occurrences : int
-        How often the steps run.
+        Number of times that the steps run.
     first : float
         Unix time in seconds at which the first occurrence is due; 0 for at once.
     interval : float
@@ -111,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True, order=True)
 class TaskId:
-    """One task of a job."""
+    """Identifier of one task of a job."""
 
     job: str
     occurrence: int
@@ -121,14 +123,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Advice:
-    """A queue's rule that an outside service names the hosts that a step may use.
+    """Rule of a queue that an external advisor names the hosts that a step may use.
 
     Attributes
     ----------
     base, per_host : float
-        Seconds that one call takes, and seconds more for each host named.
+        Seconds that one request takes, and further seconds for each host in it.
     valid : float
-        Seconds for which a ticket can be used.
+        Seconds for which a ticket is valid.
     """
 
     base: float
@@ -136,28 +138,28 @@
     valid: float
 
     def duration(self, hosts: int) -> float:
-        """Return the seconds that a call on so many hosts takes."""
+        """Return the seconds that a request about this number of hosts takes."""
         return self.base + self.per_host * hosts
 
 
 @dataclass(slots=True, frozen=True)
 class Queue:
-    """A queue of jobs as the operators define it.
+    """Queue of jobs as the operators define it.
 
     Attributes
     ----------
     prefix : str
-        Path under which callers reach it.
+        Path prefix under which callers reach the queue.
     pool : str
-        The hosts that run its tasks.
+        Name of the pool of hosts that run its tasks.
     priority : int
-        0 comes first.
+        Order among queues; 0 is the most urgent.
     max_attempts : int
-        Runs of one task that may fail through its own fault.
+        Maximum number of runs of one task that may fail through its own fault.
     slack : float
-        Times the length of the job that its objective allows.
+        Multiple of the job's expected length that its objective allows.
     target : float
-        Seconds that the objective allows besides.
+        Seconds that the objective allows in addition.
     """
 
     name: str
@@ -174,7 +176,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Setup:
-    """One version of the operators' configuration."""
+    """Version of the operators' configuration."""
 
     version: int
     queues: tuple[Queue, ...]
@@ -182,7 +184,7 @@
     max_body: int
 
     def find(self, virtual_host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of ``path``."""
+        """Return the queue with the longest prefix that matches ``path``."""
         best: Queue | None = None
         for queue in self.queues:
             if queue.virtual_host != virtual_host:
@@ -200,18 +202,19 @@
 
 @dataclass(slots=True, frozen=True)
 class HostEntry:
-    """One entry of the platform's live list.
+    """Entry of the platform's live list of hosts.
 
     Attributes
     ----------
     name : str
-        Identifies one life of a host, or several if it starts again under it.
+        Name of the host; a restarted host may keep it, so that one name can cover
+        several incarnations.
     draining : bool
-        The host leaves and takes no new work.
+        The host is about to leave and accepts no new work.
     rack : str
         The host's rack.
     stays : float
-        Seconds for which a draining host stays at least; 0 if it does not say.
+        Minimum seconds for which a draining host stays; 0 if unknown.
     """
 
     name: str
@@ -227,7 +230,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Timing:
-    """Bounds that the platform sets; seconds."""
+    """Time limits that the platform sets.
+
+    All are in seconds, except ``remote_factor``, the ratio by which a gang is slower on
+    several racks.
+    """
 
     max_lease: float = 10.0
     stop_grace: float = 1.0
--- a/siskinroad/work/speed.py
+++ b/siskinroad/work/speed.py
@@ -1,7 +1,7 @@
-"""How fast hosts work, from the progress and the ends of what runs on them.
+"""Estimates of run times and host speeds, from the progress and ends of runs.
 
-Declared run times are off by a factor that is much the same for all tasks of a
-queue; it is learned for each queue, and what is left is the host's own.
+Declared run times are off by a factor that is much the same for all tasks of a queue.
+The factor is learned per queue; a remaining deviation is attributed to the host.
 """
 
 from __future__ import annotations
@@ -11,76 +11,82 @@
 
 from siskinroad.work.host import Host, Run
 
-__all__ = ["Speeds", "seeming_time"]
+__all__ = ["Speeds", "extrapolate_total_s"]
 
-# Weight of a new sample in the mean of its queue.
+# Least weight of a new sample in the moving average of its queue.
 SAMPLE_WEIGHT = 0.1
-# Ends of a queue's tasks before its declared times are trusted.
+# Samples of a queue before its learned ratio is used; until then it counts as 1.
 MIN_SAMPLES = 8
-# Seconds of work before a run's progress tells anything.
-MIN_ELAPSED = 0.35
-# Part of its expected time that a run must have worked before it is judged.
-MIN_PART = 0.5
-# Jobs whose runs must agree that a host is slow.
+# Seconds that a run must have worked before its progress is extrapolated; the figure
+# says nothing about its speed before that.
+MIN_ELAPSED_S = 0.35
+# Fraction of its expected time that a run must have worked before its ratio is used.
+MIN_EXPECTED_FRACTION = 0.5
+# Jobs with usable runs on a host before its slowness is estimated: the declared time of
+# a single job may be far off.
 MIN_JOBS = 3
 
 
 @dataclass(slots=True)
-class _Queue:
+class _QueueRatio:
+    """Learned ratio of one queue, and the number of samples behind it."""
+
     ratio: float = 1.0
     samples: int = 0
 
 
 @dataclass(slots=True)
 class Speeds:
-    """Learned ratios of true to declared run times, by queue."""
+    """Learned ratios of actual to declared run times, by queue."""
 
-    queues: dict[str, _Queue] = field(default_factory=dict)
+    queues: dict[str, _QueueRatio] = field(default_factory=dict)
 
     def ended(self, queue: str, declared: float, seconds: float) -> None:
-        """Take in a run that ended well."""
+        """Add the run time of a successful run to the ratio of its queue."""
         if declared <= 0 or seconds <= 0:
             return
-        known = self.queues.setdefault(queue, _Queue())
-        known.samples += 1
-        # The first samples weigh more, so that the mean does not stick to 1.
-        weight = max(SAMPLE_WEIGHT, 1 / known.samples)
-        known.ratio += weight * (seconds / declared - known.ratio)
+        learned = self.queues.setdefault(queue, _QueueRatio())
+        learned.samples += 1
+        # The first samples weigh more, so that the average does not stay near 1.
+        weight = max(SAMPLE_WEIGHT, 1 / learned.samples)
+        learned.ratio += weight * (seconds / declared - learned.ratio)
 
     def expected(self, queue: str, declared: float) -> float | None:
-        """Return the seconds that a task should take; None if not known yet."""
-        known = self.queues.get(queue)
-        if known is None or known.samples < MIN_SAMPLES or declared <= 0:
+        """Return the expected seconds of a task; None without enough samples."""
+        learned = self.queues.get(queue)
+        if learned is None or learned.samples < MIN_SAMPLES or declared <= 0:
             return None
         return declared * self.factor(queue)
 
     def factor(self, queue: str) -> float:
-        """Return how many times their declared time a queue's tasks take."""
-        known = self.queues.get(queue)
-        return known.ratio if known and known.samples >= MIN_SAMPLES else 1.0
+        """Return the ratio of actual to declared time of a queue; 1 until learned."""
+        learned = self.queues.get(queue)
+        return learned.ratio if learned and learned.samples >= MIN_SAMPLES else 1.0
 
     def ratio(self, run: Run) -> float | None:
-        """Return how many times its expected time a run seems to take.
+        """Return the ratio of a run's extrapolated time to its expected time.
 
-        None while it is too young for that, judged by its newest report.
+        None if the run is too young by its newest report, is long-running, or has no
+        expected time.
         """
         expected = self.expected(run.queue, run.declared)
-        total = seeming_time(run)
+        total = extrapolate_total_s(run)
         if expected is None or total is None or run.long_running:
             return None
-        if run.reported_at - run.begun_at < MIN_PART * expected:
+        if run.reported_at - run.begun_at < MIN_EXPECTED_FRACTION * expected:
             return None
         return total / expected
 
     def remaining(self, run: Run, now: float) -> float:
-        """Return the seconds until a run has probably ended.
+        """Return the estimated seconds until a run ends.
 
-        From its progress once that tells anything, until then from what its queue's
-        tasks take; an unknown length or a run that lasts never ends.
+        Extrapolates the run's progress; before that is possible, uses the declared time
+        and the ratio of the queue. Infinite for a long-running task, and for one
+        without a declared time that cannot be extrapolated yet.
         """
         if run.long_running:
             return float("inf")
-        total = seeming_time(run)
+        total = extrapolate_total_s(run)
         if total is None:
             left = run.declared * (100 - run.progress_at_begin) / 100
             total = left * self.factor(run.queue) or float("inf")
@@ -88,7 +94,7 @@
         return max(0.0, total - (now - begun_at))
 
     def slowness(self, host: Host) -> float:
-        """Return how many times slower than others a host is; 1 if not known.
+        """Return the median ratio of a host's runs; 1 if fewer than ``MIN_JOBS`` count.
 
         One job alone proves nothing: its declared time may be far off.
         """
@@ -104,9 +110,9 @@
         return statistics.median(ratios)
 
 
-def seeming_time(run: Run) -> float | None:
-    """Return the seconds that a run takes in all at its pace so far."""
-    worked = run.reported_at - run.begun_at
-    if not run.begun_at or worked < MIN_ELAPSED:
+def extrapolate_total_s(run: Run) -> float | None:
+    """Return the total seconds of a run at its speed so far; None if too young."""
+    worked_s = run.reported_at - run.begun_at
+    if not run.begun_at or worked_s < MIN_ELAPSED_S:
         return None
-    return worked * 100 / max(run.progress - run.progress_at_begin, 1)
+    return worked_s * 100 / max(run.progress - run.progress_at_begin, 1)
--- a/siskinroad/work/term.py
+++ b/siskinroad/work/term.py
@@ -1,4 +1,4 @@
-"""What the parts of one owner share: the book, the right to act, and events."""
+"""State shared by the parts of a pool's owner: pool state, right to act, events."""
 
 from __future__ import annotations
 
@@ -17,15 +17,26 @@
 
 __all__ = ["RIGHT_TIME", "OwnerParts", "Term"]
 
-# Seconds after its last confirmed read of the claims for which an owner goes on
-# without the store. Outages of the store are shorter; a successor that does not
-# know the owner dead waits this long before it gives up silent hosts.
+# Seconds after its last confirmed read of the claims for which an owner may act without
+# the store. A smaller value stops owners during an outage of the store; a larger one
+# delays a successor, which waits this long before it abandons silent hosts if it does
+# not know that the former owner is dead.
 RIGHT_TIME = 10.0
 
 
 @dataclass(slots=True, frozen=True)
 class OwnerParts:
-    """What an owner works with; the same for every pool of a daemon."""
+    """Dependencies of an owner; the same for every pool of a daemon.
+
+    Attributes
+    ----------
+    node, incarnation : str, int
+        Name of the daemon, and the number of its current incarnation.
+    wall : callable
+        Returns the Unix time in seconds.
+    is_later_life : callable
+        Returns whether a later incarnation of a daemon than the one given is known.
+    """
 
     node: str
     incarnation: int
@@ -39,20 +50,20 @@
 
 
 class Term:
-    """One term of one pool, as all parts of its owner see it.
+    """One term of ownership of one pool, shared by all parts of the owner.
 
     Attributes
     ----------
     right_until : float
         Loop time until which the owner may act without a further confirmation.
     plan_wanted, flush_wanted : asyncio.Event
-        Something may be placed; something is to be recorded.
+        Set when a task may be placed, and when records are to be stored.
     carry_out : callable
-        Carries effects of the book out.
+        Executes effects that the pool state returns.
     doubted : callable
-        Called when another daemon seems to own the pool.
+        Called when the ownership is uncertain: another daemon seems to own the pool.
     group : asyncio.TaskGroup or None
-        Holds every task of the owner while it runs.
+        Group of all asyncio tasks of the owner; None while it does not run.
     """
 
     def __init__(self, pool: str, number: int, parts: OwnerParts) -> None:
@@ -72,7 +83,7 @@
         return asyncio.get_running_loop().time() < self.right_until
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> asyncio.Task[None] | None:
-        """Run a coroutine for as long as the term lasts."""
+        """Run a coroutine in the owner's task group; close it if there is none."""
         if self.group is None:
             coro.close()
             return None
--- a/siskinroad/work/workmetrics.py
+++ b/siskinroad/work/workmetrics.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of the work on the platform's hosts."""
+"""Prometheus metrics of a daemon: requests of callers, starts, retries and claims."""
 
 from __future__ import annotations
 
@@ -7,11 +7,12 @@
 
 __all__ = ["WorkMetrics"]
 
-BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0)
+# Upper bounds of the buckets of the reply time, in seconds.
+LATENCY_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0)
 
 
 class WorkMetrics:
-    """The metrics of one daemon, in a registry of their own."""
+    """Metrics of one daemon, in a separate registry."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry(auto_describe=False)
@@ -38,10 +39,10 @@
             "siskinroad_caller_seconds",
             "Time to answer.",
             ("verb",),
-            buckets=BUCKETS,
+            buckets=LATENCY_BUCKETS_S,
             registry=reg,
         )
 
     def render(self) -> bytes:
-        """Return the metrics in the text format."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/tests/work/test_steward.py
+++ b/tests/work/test_steward.py
@@ -1,4 +1,4 @@
-"""Hosts that work slowly or not at all, or leave, and fillers beside servers."""
+"""Tests of the run monitor: stalled, slow and leaving hosts, copies, throttling."""
 
 import dataclasses
 
@@ -10,247 +10,263 @@
 from tests.work.cell import job, step
 from tests.work.test_planner import add, make
 
-GRACE = Timing(stop_grace=0.2)
+TIMING = Timing(stop_grace=0.2)
 
 
-def tell(book, host, now, running=(), ended=()):
+def report_host(book, host, now, running=(), ended=()):
+    """Apply a report of a host and return the effects."""
     found = book.hosts[host]
     report = HostReport(int(now * 1000), 1, tuple(running), tuple(ended))
     return book.report(found, report, found.token, now - 0.001, now, now)
 
 
-def start(book, now):
-    """Start what can be started, answered at once; return the starts."""
+def start_waiting(book, now):
+    """Start every task that fits, each confirmed at once; return the starts."""
     starts = [e for e in Planner(book).plan(now, now) if isinstance(e, StartRun)]
     for effect in starts:
         book.start_answered(book.hosts[effect.host], effect.run, None, now)
     return starts
 
 
-def teach(book, now=0.1, seconds=0.9):
-    """Let ten tasks that declared a second end after ``seconds``."""
+def learn_run_time(book, now=0.1, seconds=0.9):
+    """Let ten tasks with a declared time of 1 s end after ``seconds``."""
     add(book, "taught", job(step(10, cpu_milli=100, estimate=1.0)), "fast")
     ends = {}
-    for i, effect in enumerate(start(book, now)):
+    for i, effect in enumerate(start_waiting(book, now)):
         end = Ended(i + 1, *effect.run.key, EndKind.DONE, "")
         ends.setdefault(effect.host, []).append(end)
     for host, ended in ends.items():
-        tell(book, host, now + seconds, ended=ended)
+        report_host(book, host, now + seconds, ended=ended)
 
 
-def row(effect, progress, usage=0):
-    return Running(*effect.run.key, "", progress, usage)
+def running_row(effect, percent, usage=0):
+    """Return the row of a started run in a host's report."""
+    return Running(*effect.run.key, "", percent, usage)
 
 
-def three_jobs(book, now, estimate=1.0):
-    """Start a task of each of three jobs on one host; return the starts."""
+def start_three_jobs(book, now, estimate=1.0):
+    """Start one task of each of three jobs on one host; return the starts."""
     for name in ("j", "k", "l"):
         add(book, name, job(step(1, estimate=estimate)), "fast")
-    begun = start(book, now)
+    begun = start_waiting(book, now)
     assert len({effect.host for effect in begun}) == 1
     return begun
 
 
-def report_all(book, now, begun, progress):
+def report_all(book, now, begun, percent):
+    """Let every host report its started runs at the same progress."""
     for name in book.hosts:
-        here = [row(effect, progress) for effect in begun if effect.host == name]
-        tell(book, name, now, here)
+        here = [running_row(effect, percent) for effect in begun if effect.host == name]
+        report_host(book, name, now, here)
 
 
-def test_a_slow_host_rests_and_its_tasks_move_while_that_ends_them_sooner():
-    # Load: a host that has become six times slower.
+def test_a_slow_host_is_quarantined_and_its_tasks_move_if_they_end_sooner():
+    # The host has become about six times slower than the others.
     book = make(["i-0", "i-1", "i-2"])
-    teach(book)
-    begun = three_jobs(book, 1.1)
+    learn_run_time(book)
+    begun = start_three_jobs(book, 1.1)
     report_all(book, 1.9, begun, 12)
-    effects = Steward(book, GRACE).look(1.9, 1.9)
+    effects = Steward(book, TIMING).look(1.9, 1.9)
     stopped = [e.run for e in effects if isinstance(e, StopRun)]
     assert stopped == [effect.run for effect in begun]
     assert book.hosts[begun[0].host].resting
 
 
-def test_hosts_of_usual_speed_are_left_alone():
+def test_hosts_of_normal_speed_are_not_quarantined():
     book = make(["i-0", "i-1", "i-2"])
-    teach(book)
-    report_all(book, 1.9, three_jobs(book, 1.1), 55)
-    assert Steward(book, GRACE).look(1.9, 1.9) == []
+    learn_run_time(book)
+    report_all(book, 1.9, start_three_jobs(book, 1.1), 55)
+    assert Steward(book, TIMING).look(1.9, 1.9) == []
     assert not any(host.resting for host in book.hosts.values())
 
 
-def test_declarations_that_are_far_off_make_no_host_slow():
+def test_a_wrong_declared_time_of_a_queue_makes_no_host_slow():
     book = make(["i-0", "i-1", "i-2"])
-    teach(book, seconds=4.9)
-    report_all(book, 7.9, three_jobs(book, 5.1), 55)
-    assert Steward(book, GRACE).look(7.9, 7.9) == []
+    learn_run_time(book, seconds=4.9)
+    report_all(book, 7.9, start_three_jobs(book, 5.1), 55)
+    assert Steward(book, TIMING).look(7.9, 7.9) == []
 
 
-def test_one_job_that_takes_long_makes_no_host_slow():
+def test_a_wrong_declared_time_of_one_job_makes_no_host_slow():
     book = make(["i-0", "i-1", "i-2"])
-    teach(book)
+    learn_run_time(book)
     add(book, "j", job(step(2, estimate=1.0)), "fast")
-    report_all(book, 1.9, start(book, 1.1), 12)
-    assert Steward(book, GRACE).look(1.9, 1.9) == []
+    report_all(book, 1.9, start_waiting(book, 1.1), 12)
+    assert Steward(book, TIMING).look(1.9, 1.9) == []
 
 
 def test_runs_that_have_just_begun_make_no_host_slow():
-    # Load: reports that list a run at no progress, then nothing for a while.
+    # The host reports the runs without progress, and then nothing for 0.85 s.
     book = make(["i-0", "i-1", "i-2"])
-    teach(book)
-    begun = three_jobs(book, 1.1)
+    learn_run_time(book)
+    begun = start_three_jobs(book, 1.1)
     report_all(book, 1.15, begun, 0)
-    assert Steward(book, GRACE).look(2.0, 2.0) == []
+    assert Steward(book, TIMING).look(2.0, 2.0) == []
 
 
-def test_what_stands_still_is_stopped_and_goes_elsewhere():
+def test_a_stalled_run_is_stopped_and_resumes_on_another_host():
     book = make(["i-0", "i-1", "i-2"])
     add(book, "j", job(step(1)), "slow")
-    (begun,) = start(book, 0.1)
+    (begun,) = start_waiting(book, 0.1)
     for now in (0.5, 1.5, 2.5, 3.5):
         for name in book.hosts:
-            tell(book, name, now, [row(begun, 5)] if name == begun.host else [])
-    (stop,) = Steward(book, GRACE).look(3.5, 3.5)
+            report_host(
+                book, name, now, [running_row(begun, 5)] if name == begun.host else []
+            )
+    (stop,) = Steward(book, TIMING).look(3.5, 3.5)
     end = Ended(1, *begun.run.key, EndKind.STOPPED, "ck")
-    tell(book, begun.host, 3.6, ended=[end])
-    (again,) = start(book, 3.7)
-    assert stop.run is begun.run and again.host != begun.host
-    assert again.checkpoint == "ck"
+    report_host(book, begun.host, 3.6, ended=[end])
+    (restart,) = start_waiting(book, 3.7)
+    assert stop.run is begun.run and restart.host != begun.host
+    assert restart.checkpoint == "ck"
 
 
-def test_fillers_are_slowed_before_the_tail_beside_them_is_over_its_bound():
+def test_best_effort_tasks_are_throttled_before_a_tail_reaches_its_bound():
     book = make(["i-0"])
     add(book, "s", job(step(1, long_running=True, tail_limit=0.1)), "fast")
-    (serving,) = start(book, 0.1)
+    (serving,) = start_waiting(book, 0.1)
     add(book, "f", job(step(1, filler=True)), "slow")
-    (filler,) = start(book, 0.2)
-    steward = Steward(book, GRACE)
-    tell(book, "i-0", 1.0, [row(serving, 100, 80), row(filler, 10, 4000)])
+    (filler,) = start_waiting(book, 0.2)
+    steward = Steward(book, TIMING)
+    report_host(
+        book, "i-0", 1.0, [running_row(serving, 100, 80), running_row(filler, 10, 4000)]
+    )
     (slower,) = steward.look(1.0, 1.0)
     assert isinstance(slower, PaceRun) and slower.percent < 100
-    tell(book, "i-0", 2.0, [row(serving, 100, 30), row(filler, 12, 400)])
+    report_host(
+        book, "i-0", 2.0, [running_row(serving, 100, 30), running_row(filler, 12, 400)]
+    )
     (faster,) = steward.look(2.0, 2.0)
     assert faster.percent > slower.percent
 
 
-def copied(book, now):
-    """Start one task of a step that allows copies; return its host and its start."""
-    teach(book)
+def start_copyable_task(book, now):
+    """Start one task whose step allows copies; return its host and its start."""
+    learn_run_time(book)
     add(book, "c", job(step(1, estimate=1.0, copies=True)), "fast")
-    (begun,) = start(book, now)
+    (begun,) = start_waiting(book, now)
     return book.hosts[begun.host], begun
 
 
-def progress(book, begun, now, percent):
-    """Let every host report; the one with the task lists it."""
+def report_progress(book, begun, now, percent):
+    """Let every host report; the host of the task reports its progress."""
     for name in book.hosts:
-        rows = [row(begun, percent)] if name == begun.host else []
-        tell(book, name, now, rows)
+        rows = [running_row(begun, percent)] if name == begun.host else []
+        report_host(book, name, now, rows)
 
 
-def test_a_task_on_a_silent_host_is_copied_before_its_leases_have_lapsed():
-    # Load: urgent tasks on a host that is cut off or has lost power.
+def test_a_task_on_a_silent_host_is_copied_before_the_lease_expires():
+    # The host is cut off or has lost power.
     book = make(["i-0", "i-1"])
-    host, begun = copied(book, 2.0)
-    progress(book, begun, 2.1, 10)
+    host, begun = start_copyable_task(book, 2.0)
+    report_progress(book, begun, 2.1, 10)
     host.heard_at = 0.0
-    Steward(book, GRACE).look(2.5, 2.5)
-    assert start(book, 2.5) == []
-    Steward(book, GRACE).look(2.9, 2.9)
-    (again,) = start(book, 2.9)
-    assert again.host != host.name and again.run.key[1] == 2
+    Steward(book, TIMING).look(2.5, 2.5)
+    assert start_waiting(book, 2.5) == []
+    Steward(book, TIMING).look(2.9, 2.9)
+    (copy_start,) = start_waiting(book, 2.9)
+    assert copy_start.host != host.name and copy_start.run.key[1] == 2
 
 
-def test_a_task_that_is_slow_is_copied_once_and_the_first_end_counts():
-    # Load: a host that has become four times slower under one urgent task.
+def test_a_slow_task_is_copied_once_and_the_first_end_counts():
+    # The host has become four times slower while the task runs.
     book = make(["i-0", "i-1"])
-    host, begun = copied(book, 2.0)
-    progress(book, begun, 2.8, 20)
-    steward = Steward(book, GRACE)
+    host, begun = start_copyable_task(book, 2.0)
+    report_progress(book, begun, 2.8, 20)
+    steward = Steward(book, TIMING)
     steward.look(2.85, 2.85)
-    (again,) = start(book, 2.9)
-    assert again.host != host.name
+    (copy_start,) = start_waiting(book, 2.9)
+    assert copy_start.host != host.name
     steward.look(3.1, 3.1)
-    assert start(book, 3.1) == []
-    end = Ended(99, *again.run.key, EndKind.DONE, "")
-    effects = tell(book, again.host, 3.9, ended=[end])
+    assert start_waiting(book, 3.1) == []
+    end = Ended(99, *copy_start.run.key, EndKind.DONE, "")
+    effects = report_host(book, copy_start.host, 3.9, ended=[end])
     stops = [e for e in effects if isinstance(e, StopRun)]
     assert [(e.host, e.run) for e in stops] == [(host.name, begun.run)]
     assert book.jobs["c"].outcome == "complete"
 
 
-def test_the_older_copy_may_end_first_and_the_newer_is_stopped():
+def test_the_speculative_copy_is_stopped_when_the_first_run_ends():
     book = make(["i-0", "i-1"])
-    host, begun = copied(book, 2.0)
-    progress(book, begun, 2.8, 20)
-    Steward(book, GRACE).look(2.85, 2.85)
-    (again,) = start(book, 2.9)
+    host, begun = start_copyable_task(book, 2.0)
+    report_progress(book, begun, 2.8, 20)
+    Steward(book, TIMING).look(2.85, 2.85)
+    (copy_start,) = start_waiting(book, 2.9)
     end = Ended(99, *begun.run.key, EndKind.DONE, "")
-    effects = tell(book, host.name, 3.3, ended=[end])
-    assert [e.run for e in effects if isinstance(e, StopRun)] == [again.run]
+    effects = report_host(book, host.name, 3.3, ended=[end])
+    assert [e.run for e in effects if isinstance(e, StopRun)] == [copy_start.run]
     assert book.jobs["c"].outcome == "complete"
 
 
-def test_tasks_that_allow_no_copies_are_never_copied():
+def test_tasks_whose_step_allows_no_copies_are_never_copied():
     book = make(["i-0", "i-1"])
-    teach(book)
+    learn_run_time(book)
     add(book, "c", job(step(1, estimate=1.0)), "fast")
-    (begun,) = start(book, 2.0)
+    (begun,) = start_waiting(book, 2.0)
     host = book.hosts[begun.host]
-    progress(book, begun, 2.8, 20)
+    report_progress(book, begun, 2.8, 20)
     host.heard_at = 0.0
-    Steward(book, GRACE).look(3.9, 3.9)
-    assert start(book, 3.9) == []
+    Steward(book, TIMING).look(3.9, 3.9)
+    assert start_waiting(book, 3.9) == []
 
 
-def test_a_copied_task_s_failures_count_once_each():
+def test_each_failed_run_of_a_copied_task_counts_once():
     book = make(["i-0", "i-1"])
-    host, begun = copied(book, 2.0)
-    progress(book, begun, 2.8, 20)
-    Steward(book, GRACE).look(2.85, 2.85)
-    (again,) = start(book, 2.9)
-    tell(book, host.name, 3.2, ended=[Ended(99, *begun.run.key, EndKind.FAILED, "")])
+    host, begun = start_copyable_task(book, 2.0)
+    report_progress(book, begun, 2.8, 20)
+    Steward(book, TIMING).look(2.85, 2.85)
+    (copy_start,) = start_waiting(book, 2.9)
+    report_host(
+        book, host.name, 3.2, ended=[Ended(99, *begun.run.key, EndKind.FAILED, "")]
+    )
     task = book.task(begun.run.key[0])
     assert (task.failed, task.state, task.older) == (1, "placed", "")
-    tell(book, again.host, 3.3, ended=[Ended(99, *again.run.key, EndKind.FAILED, "")])
+    report_host(
+        book,
+        copy_start.host,
+        3.3,
+        ended=[Ended(99, *copy_start.run.key, EndKind.FAILED, "")],
+    )
     assert (task.failed, task.state) == (2, "waiting")
 
 
-def leaving(book, host, stays, now):
-    """Let a host drain, and return what the steward stops then."""
+def drain_host(book, host, stays, now):
+    """Let a host drain and return the jobs whose runs the monitor stops."""
     found = book.hosts[host]
     gone = dataclasses.replace(found.entry, draining=True, stays=stays)
     book.host_listed(gone, now)
-    effects = Steward(book, GRACE).look(now, now)
+    effects = Steward(book, TIMING).look(now, now)
     return [e.run.key[0].job for e in effects if isinstance(e, StopRun)]
 
 
-def test_work_that_will_not_end_before_its_host_leaves_begins_elsewhere_at_once():
-    # Load: hosts that are emptied and taken away in the middle of a day.
+def test_runs_that_will_not_end_before_their_host_leaves_are_stopped():
+    # The host is drained and leaves after 2.5 s.
     book = make(["i-0"])
-    teach(book)
+    learn_run_time(book)
     add(book, "saves", job(step(1, estimate=4.0, checkpoints=True)), "slow")
     add(book, "lasts", job(step(1, long_running=True)), "slow")
     add(book, "plain", job(step(1, estimate=9.0)), "slow")
     add(book, "short", job(step(1, estimate=1.0)), "slow")
-    begun = start(book, 2.0)
-    tell(book, "i-0", 2.3, [row(effect, 10) for effect in begun])
-    assert sorted(leaving(book, "i-0", 2.5, 2.4)) == ["plain", "saves"]
-    # What lasts works on until just before the host leaves.
-    lasting = [row(e, 100) for e in begun if e.run.key[0].job == "lasts"]
-    tell(book, "i-0", 4.4, lasting)
-    assert leaving(book, "i-0", 2.5, 4.5) == ["lasts"]
+    begun = start_waiting(book, 2.0)
+    report_host(book, "i-0", 2.3, [running_row(effect, 10) for effect in begun])
+    assert sorted(drain_host(book, "i-0", 2.5, 2.4)) == ["plain", "saves"]
+    # Long-running tasks work until just before the host leaves.
+    lasting = [running_row(e, 100) for e in begun if e.run.key[0].job == "lasts"]
+    report_host(book, "i-0", 4.4, lasting)
+    assert drain_host(book, "i-0", 2.5, 4.5) == ["lasts"]
 
 
-def test_work_on_a_host_that_stays_long_enough_is_left_alone():
+def test_runs_that_end_before_their_host_leaves_are_not_stopped():
     book = make(["i-0"])
-    tell(book, "i-0", 1.9)
+    report_host(book, "i-0", 1.9)
     add(book, "saves", job(step(1, estimate=2.0, checkpoints=True)), "slow")
-    (begun,) = start(book, 2.0)
-    tell(book, "i-0", 2.3, [row(begun, 15)])
-    assert leaving(book, "i-0", 2.5, 2.4) == []
+    (begun,) = start_waiting(book, 2.0)
+    report_host(book, "i-0", 2.3, [running_row(begun, 15)])
+    assert drain_host(book, "i-0", 2.5, 2.4) == []
 
 
-def test_a_host_that_lists_itself_again_leaves_no_later():
+def test_a_repeated_listing_of_a_draining_host_does_not_postpone_its_leave():
     book = make(["i-0"])
     for now in (1.0, 2.0):
-        leaving(book, "i-0", 2.5, now)
+        drain_host(book, "i-0", 2.5, now)
     assert book.hosts["i-0"].leaves_at == 3.5
