--- a/siskinroad/work/job.py
+++ b/siskinroad/work/job.py
@@ -1,4 +1,4 @@
-"""A job's tasks and how far they are."""
+"""Jobs, their steps and tasks, and their progress."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class JobState:
-    """States that a caller is shown."""
+    """Job states as shown to callers."""
 
     QUEUED = "queued"
     ACTIVE = "active"
@@ -26,22 +26,22 @@
 
 @dataclass(slots=True, eq=False)
 class Task:
-    """One task over all its runs.
+    """One task, across all its runs.
 
     Attributes
     ----------
     state : str
         State of the ``task`` chart.
     run : int
-        Highest run number that was used.
+        Highest run number used so far.
     host : str
-        Where the newest run is.
+        Host of the newest run.
     failures : set of int
-        Runs that failed through the task's own fault.
+        Numbers of the runs that failed because of the task itself.
     avoid : dict of str to float
-        Hosts on which a run failed or stood still, with the loop time of that.
+        Hosts on which a run failed or stalled, and the loop time when it did.
     older : str
-        Host of an older run that goes on beside the newest one; empty for none.
+        Host of an older run that continues beside the newest one; empty if none.
     """
 
     id: TaskId
@@ -55,7 +55,7 @@
 
     @property
     def failed(self) -> int:
-        """How many runs failed through the task's own fault."""
+        """Number of runs that failed because of the task itself."""
         return len(self.failures)
 
     def move(self, event: str) -> None:
@@ -66,8 +66,8 @@
         """Return whether the chart has ``event`` in this state."""
         return _TASK.allows(self.state, event)
 
-    def note(self) -> TaskNote:
-        """Return what must last of the task."""
+    def make_note(self) -> TaskNote:
+        """Return the part of the task's state that is stored."""
         key = self.id
         return TaskNote(
             key.occurrence,
@@ -87,15 +87,15 @@
     Attributes
     ----------
     by_host : dict of str to int
-        Tasks of the step that hold room on each host.
+        Number of the step's runs that occupy capacity on each host.
     asked : set of str
-        Hosts that the advisor was asked about.
+        Hosts for which advice was requested.
     tickets : dict of str to tuple
-        Ticket of each allowed host, and the loop time until which it can be used.
+        Ticket of each allowed host, and the loop time until which it is valid.
     asking : bool
-        A question to the advisor is on its way.
+        Whether an advice request is in flight.
     ready_at : float
-        Loop time at which the step could first start.
+        Loop time at which the step became ready to start.
     """
 
     job: Job
@@ -111,11 +111,11 @@
 
     @property
     def key(self) -> tuple[str, int, int]:
-        """Job, occurrence and step."""
+        """Job id, occurrence number and step number."""
         return (self.job.id, self.occurrence, self.number)
 
     def make_run(self, task: Task, number: int, token: int, now: float) -> Run:
-        """Return a run of one of the step's tasks that is about to be ordered."""
+        """Return a new run of one of the step's tasks, not yet started."""
         spec = self.spec
         return Run(
             (task.id, number),
@@ -131,11 +131,11 @@
         )
 
     def waiting(self) -> list[Task]:
-        """Return the tasks that can be placed."""
+        """Return the tasks that may be placed."""
         return [task for task in self.tasks if task.state == "waiting"]
 
     def is_done(self) -> bool:
-        """Return whether every task has ended well."""
+        """Return whether every task has succeeded."""
         return all(task.state == "done" for task in self.tasks)
 
 
@@ -146,15 +146,15 @@
     Attributes
     ----------
     outcome : str
-        Empty, or a final state of ``JobState``.
+        Final state from ``JobState``; empty while the job is open.
     recorded : str
-        The outcome that the store has.
+        Outcome in the store; empty until the outcome is stored.
     tails : list of float
         Declared seconds from the start of each step to the end of the job.
-    links : int
-        Steps of the longest chain of steps that wait for each other.
+    chain_length : int
+        Number of steps in the longest chain of steps that depend on each other.
     started : bool
-        Whether a task has begun.
+        Whether any task has started.
     """
 
     id: str
@@ -163,7 +163,7 @@
     spec: JobSpec
     accepted_at: float
     tails: list[float] = field(default_factory=list)
-    links: int = 1
+    chain_length: int = 1
     steps: dict[tuple[int, int], StepRun] = field(default_factory=dict)
     opened: int = 0
     outcome: str = ""
@@ -173,11 +173,11 @@
 
     @property
     def closed(self) -> bool:
-        """Whether nothing of the job may start any more."""
+        """Whether the job has an outcome, so that no more tasks may start."""
         return self.outcome != ""
 
     def shown(self) -> str:
-        """Return the state that a caller is shown: nothing that is not recorded."""
+        """Return the state to show to callers; an outcome only once it is stored."""
         if self.recorded:
             return self.recorded
         return JobState.ACTIVE if self.started else JobState.QUEUED
@@ -188,7 +188,7 @@
         Parameters
         ----------
         settled : bool
-            No former owner can have begun any of its tasks.
+            Whether no former owner can have started any of its tasks.
         """
         number = self.opened
         self.opened += 1
@@ -204,21 +204,21 @@
         return added
 
     def task(self, key: TaskId) -> Task | None:
-        """Return a task, or None if there is none of that name."""
+        """Return a task, or None if there is no such task."""
         step = self.steps.get((key.occurrence, key.step))
         if step is None or not 0 <= key.index < len(step.tasks):
             return None
         return step.tasks[key.index]
 
     def is_ready(self, step: StepRun) -> bool:
-        """Return whether the steps before ``step`` have ended well."""
-        before = step.spec.after
-        return all(self.steps[step.occurrence, i].is_done() for i in before)
+        """Return whether all steps that ``step`` depends on have succeeded."""
+        dependencies = step.spec.after
+        return all(self.steps[step.occurrence, i].is_done() for i in dependencies)
 
     def progress(self) -> Progress:
-        """Return the record of the job as it stands."""
+        """Return the progress record of the job's current state."""
         notes = tuple(
-            task.note()
+            task.make_note()
             for step in self.steps.values()
             for task in step.tasks
             if (task.run or task.state == "done") and not self.outcome
@@ -226,7 +226,7 @@
         return Progress(self.id, self.outcome, self.outcome_at, notes)
 
     def restore(self, progress: Progress) -> None:
-        """Take over what the store has of the job."""
+        """Restore the job from its stored progress record."""
         self.outcome = self.recorded = progress.state
         self.outcome_at = progress.at
         for note in progress.notes:
@@ -244,16 +244,16 @@
 
 
 def make_job(accepted: Accepted) -> Job:
-    """Return a job that has not begun."""
+    """Return a new job that has not started, made from its accepted record."""
     job = Job(accepted.job, accepted.queue, accepted.pool, accepted.spec, accepted.at)
     steps = accepted.spec.steps
-    job.tails = _tails(steps, [step.estimate for step in steps])
-    job.links = round(max(_tails(steps, [1.0 for _ in steps])))
+    job.tails = _longest_tails(steps, [step.estimate for step in steps])
+    job.chain_length = round(max(_longest_tails(steps, [1.0 for _ in steps])))
     return job
 
 
-def _tails(steps: tuple[Step, ...], lengths: list[float]) -> list[float]:
-    """Return the longest chain of lengths from each step to the end of the job."""
+def _longest_tails(steps: tuple[Step, ...], lengths: list[float]) -> list[float]:
+    """Return the length of the longest chain from each step to the end of the job."""
     tails = list(lengths)
     for i in reversed(range(len(steps))):
         after = [tails[j] for j in range(i + 1, len(steps)) if i in steps[j].after]
--- a/siskinroad/work/jobbook.py
+++ b/siskinroad/work/jobbook.py
@@ -1,6 +1,7 @@
-"""An owner's knowledge of its pool's jobs: what is ready, due, late or done.
+"""Table of a pool's jobs: which steps are ready, due, late or done.
 
-Nothing here does I/O. Loop times are passed as ``now``, Unix times as ``wall``.
+Nothing here does I/O. Loop times are passed as ``now``, Unix times as ``wall``, both
+in seconds.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 
 __all__ = ["JobBook"]
 
-# Hosts that one question to the advisor counts for in a job's objective, by the
-# platform's page.
-ADVICE_HOSTS = 30
+# Number of hosts assumed for each advice request when the time of a job is estimated,
+# as the platform's documentation specifies.
+HOSTS_PER_ADVICE_REQUEST = 30
 
 log = logging.getLogger("siskinroad.book")
 
 
 class JobBook:
-    """Jobs of one pool, without the hosts that run them.
+    """Table of the jobs of one pool, without the hosts that run them.
 
     Parameters
     ----------
@@ -39,9 +40,10 @@
     timed : set of str
         Jobs with occurrences that are not due yet.
     dirty : set of str
-        Jobs that have changed since they were recorded.
+        Jobs that have changed since they were last stored.
     settled : bool
-        No run of a former owner is unaccounted for.
+        Every run of former owners has been reconciled, so none can be running
+        without this owner's knowledge.
     """
 
     def __init__(self, pool: str, term: int) -> None:
@@ -58,18 +60,18 @@
         self.settled = False
 
     def configure(self, setup: Setup) -> None:
-        """Put a configuration in force; queues that are gone keep their rules."""
+        """Apply a configuration; queues it no longer lists keep their last rules."""
         self.setup = setup
         for queue in setup.queues:
             self.queues[queue.name] = queue
 
     def accept(self, accepted: Accepted, now: float, wall: float, fresh: bool) -> Job:
-        """Take in an accepted job; a repeated submission changes nothing.
+        """Add an accepted job and return it; a repeated submission changes nothing.
 
         Parameters
         ----------
         fresh : bool
-            No former owner can have started any of its tasks.
+            Whether no former owner can have started any of its tasks.
         """
         known = self.jobs.get(accepted.job)
         if known is not None:
@@ -84,21 +86,21 @@
         return job
 
     def restore(self, progress: Progress, now: float) -> None:
-        """Take over what the store has of an accepted job."""
+        """Apply the stored progress of an accepted job."""
         job = self.jobs.get(progress.job)
         if job is None:
             return
         job.restore(progress)
         for step in list(job.steps.values()):
-            self._step_changed(step, now)
+            self._close_step_if_done(step, now)
         self._find_ready(job, now)
 
-    def open_due(self, now: float, wall: float, early: float) -> None:
-        """Open the occurrences whose time has come, at most ``early`` ahead."""
+    def open_due(self, now: float, wall: float, max_lead: float) -> None:
+        """Open occurrences that are due within ``max_lead`` seconds."""
         for job_id in list(self.timed):
             job = self.jobs[job_id]
             while job.opened < job.spec.occurrences and not job.closed:
-                if job.spec.due(job.opened) > wall + early:
+                if job.spec.due(job.opened) > wall + max_lead:
                     break
                 job.open_occurrence(settled=self.settled)
                 self._find_ready(job, now)
@@ -106,51 +108,51 @@
                 self.timed.discard(job_id)
 
     def pending(self, queue: str) -> int:
-        """Return the accepted jobs of a queue of which nothing has begun."""
+        """Return the number of open jobs of a queue that have not started."""
         return sum(
             1
             for job in self.jobs.values()
             if job.queue == queue and not job.started and not job.closed
         )
 
-    def forget_closed(self, wall: float, kept: float) -> list[str]:
-        """Forget jobs that ended more than ``kept`` seconds ago; return them."""
-        old = [
+    def forget_closed(self, wall: float, retention: float) -> list[str]:
+        """Remove jobs closed more than ``retention`` seconds ago; return their ids."""
+        expired = [
             job.id
             for job in self.jobs.values()
-            if job.recorded and wall - job.outcome_at > kept
+            if job.recorded and wall - job.outcome_at > retention
         ]
-        for job_id in old:
+        for job_id in expired:
             del self.jobs[job_id]
             self.health.forget_workload(job_id)
-        return old
+        return expired
 
     def allowed(self, job: Job) -> float:
-        """Return the seconds that a job's users grant it until it is complete.
+        """Return the seconds within which a job should be complete.
 
-        They count its longest chain of work as it is, not as it was declared, and
-        one question to the advisor for each step of it.
+        The time is based on the job's longest chain of steps, with declared run
+        times scaled to measured ones, and one advice request for each of its steps.
         """
         queue = self.queues.get(job.queue)
         if queue is None:
             return 0.0
         chain = max(job.tails) * self.speeds.factor(job.queue)
         if queue.advice is not None:
-            chain += job.links * queue.advice.duration(ADVICE_HOSTS)
+            chain += job.chain_length * queue.advice.duration(HOSTS_PER_ADVICE_REQUEST)
         return queue.slack * chain + queue.target
 
     def objective(self, job: Job, occurrence: int = 0) -> float:
-        """Return the Unix time in seconds by which an occurrence is worth most."""
-        begins = job.spec.due(occurrence) if job.spec.first else job.accepted_at
-        return begins + self.allowed(job)
+        """Return the Unix time by which an occurrence should be complete."""
+        base_time = job.spec.due(occurrence) if job.spec.first else job.accepted_at
+        return base_time + self.allowed(job)
 
     def task(self, key: TaskId) -> Task | None:
-        """Return a task, or None if its job or the task is not known."""
+        """Return a task, or None if the job or the task is unknown."""
         job = self.jobs.get(key.job)
         return job.task(key) if job else None
 
     def step(self, key: TaskId) -> StepRun | None:
-        """Return the step of a task, or None if it is not known."""
+        """Return the step of a task, or None if it is unknown."""
         return self.step_by_key((key.job, key.occurrence, key.step))
 
     def step_by_key(self, key: tuple[str, int, int]) -> StepRun | None:
@@ -166,21 +168,21 @@
                 step.ready_at = now
                 self.ready[step.key] = step
 
-    def _step_changed(self, step: StepRun, now: float) -> None:
-        """Note the end of a step and of its job."""
+    def _close_step_if_done(self, step: StepRun, now: float) -> None:
+        """Replace a step in ``ready`` by the steps that depend on it, if it is done."""
         job = step.job
         if not step.is_done():
             return
         self.ready.pop(step.key, None)
         self._find_ready(job, now)
 
-    def _check_complete(self, job: Job, wall: float) -> None:
+    def _complete_job_if_done(self, job: Job, wall: float) -> None:
         if job.closed or job.opened < job.spec.occurrences:
             return
         if all(step.is_done() for step in job.steps.values()):
-            self._finish(job, JobState.COMPLETE, wall)
+            self._set_outcome(job, JobState.COMPLETE, wall)
 
-    def _finish(self, job: Job, outcome: str, wall: float) -> None:
+    def _set_outcome(self, job: Job, outcome: str, wall: float) -> None:
         job.outcome = outcome
         job.outcome_at = wall
         self.dirty.add(job.id)
