--- a/siskinroad/work/claim.py
+++ b/siskinroad/work/claim.py
@@ -1,10 +1,10 @@
-"""Taking a pool over: a claim in the store, and what its former owner left.
+"""Takeover of a pool: the claim in the store, and the state of the former owner.
 
-The claim is appended to the pool's topic of accepted jobs. Its offset makes the
-term, so terms are unique and rise, and the highest one owns. A former owner that
-reads the topic meets the claim before any job that is accepted after it. The
-claim has no condition: under load a condition on the topic's end would fail again
-and again while the store is slow.
+The claim is appended to the pool's topic of accepted jobs. The term is the claim's
+offset plus one, so terms are unique and increase, and the highest term owns the pool.
+A former owner that follows the topic reads the claim before any job accepted after
+it. The append is unconditional: while the store is slow and busy, an append that
+requires a certain end of the topic would fail over and over.
 """
 
 from __future__ import annotations
@@ -39,34 +39,35 @@
 
 
 PRODUCER = "owner"
-# Seconds for one call: several slow appends may stand before the claim.
-CALL_TIME = 2.5
+# Time-out of one store call, in seconds. A shorter one would abort claims that are
+# queued behind several slow appends.
+STORE_TIMEOUT = 2.5
 
 log = logging.getLogger("siskinroad.claim")
 
 
 class OwnedError(SiskinroadError):
-    """The pool's owner lives."""
+    """Claim refused, as the pool already has a live owner."""
 
 
 @dataclass(slots=True)
 class Inheritance:
-    """What a new owner begins with.
+    """State that a new owner takes over from the store.
 
     Attributes
     ----------
     term : int
-        The claim's offset plus one.
+        The new owner's term: the claim's offset plus one.
     former : OwnerRecord or None
-        The owner before, if there was one.
+        The former owner, if there was one.
     former_term : int
-        Its term.
+        The former owner's term.
     released_term : int
-        The newest term whose owner has stopped by itself.
+        The newest term whose owner released the pool in an orderly way.
     claimed_at : float
         Loop time at which the claim was sent.
     next : int
-        Offset from which the topic of accepted jobs is to be read on.
+        Offset from which to continue reading the topic of accepted jobs.
     """
 
     term: int = 0
@@ -82,14 +83,14 @@
 
     @property
     def former_alone(self) -> bool:
-        """Whether no owner before the former one can have work left anywhere."""
+        """Whether no owner before the former one can still have runs on any host."""
         if self.former is None:
             return True
         hosts = self.hosts
         return hosts is not None and hosts.term == self.former_term and hosts.settled
 
     def take(self, stored: Stored, offset: int) -> None:
-        """Take in one record."""
+        """Apply one record."""
         match stored:
             case Accepted(job=job):
                 self.accepted.setdefault(job, stored)
@@ -106,16 +107,16 @@
                 self.hosts = stored
 
 
-def take_all(found: Inheritance, items: tuple[Newest, ...], topic: str) -> None:
-    """Take in records; what cannot be read is logged and left out."""
+def take_records(inherited: Inheritance, items: tuple[Newest, ...], topic: str) -> None:
+    """Apply records; unreadable ones are logged and skipped."""
     for item in items:
         if not item.value:
             continue
         try:
-            found.take(unpack(item.value), item.offset)
+            inherited.take(unpack(item.value), item.offset)
         except ProtocolError as exc:
             log.error(
-                "claim: record is not readable",
+                "claim: cannot decode a stored record; skipping it",
                 extra={"topic": topic, "key": item.key, "error": str(exc)},
             )
 
@@ -124,67 +125,75 @@
     store: Store,
     pool: str,
     owner: OwnerRecord,
-    is_owned: Callable[[OwnerRecord], Awaitable[bool]] | None = None,
+    has_live_owner: Callable[[OwnerRecord], Awaitable[bool]] | None = None,
 ) -> Inheritance:
-    """Claim a pool and read all that its former owner left.
+    """Claim a pool and read the stored state of its former owner.
 
-    Of two daemons that claim at the same time the later one owns; the other
-    finds the later claim when it reads on.
+    If two daemons claim at the same time, the later claim owns the pool; the other
+    daemon finds that claim when it continues to read the topic.
 
     Parameters
     ----------
-    is_owned : callable, optional
-        Returns whether the pool has an owner after all, given the one on record;
-        asked once the store has answered.
+    has_live_owner : callable, optional
+        Returns whether the pool still has a live owner, given the stored owner;
+        called once the store has replied.
 
     Raises
     ------
     OwnedError
-        The owner on record lives; nothing was claimed.
+        If the pool still has a live owner; nothing was claimed.
     """
     topic = job_topic(pool)
-    page = await newest_of_all(store, topic, CALL_TIME)
-    found = Inheritance()
-    take_all(found, page.items, topic)
-    former = found.former
-    if former is not None and is_owned is not None and await is_owned(former):
-        raise OwnedError("it has an owner", step="claim", peer=former.node)
-    found.claimed_at = asyncio.get_running_loop().time()
-    offset = await store.append(topic, [record_of(owner)], timeout=CALL_TIME)
-    found.term = found.next = offset + 1
-    # From here on the store rejects progress of every lower term.
-    fence = Fence(PRODUCER, found.term, 0)
-    await store.append(progress_topic(pool), [], fence=fence, timeout=CALL_TIME)
+    page = await newest_of_all(store, topic, STORE_TIMEOUT)
+    inherited = Inheritance()
+    take_records(inherited, page.items, topic)
+    former = inherited.former
+    if (
+        former is not None
+        and has_live_owner is not None
+        and await has_live_owner(former)
+    ):
+        raise OwnedError(
+            "pool already has a live owner", step="claim", peer=former.node
+        )
+    inherited.claimed_at = asyncio.get_running_loop().time()
+    offset = await store.append(topic, [record_of(owner)], timeout=STORE_TIMEOUT)
+    inherited.term = inherited.next = offset + 1
+    # From here on the store rejects progress records of every lower term.
+    fence = Fence(PRODUCER, inherited.term, 0)
+    await store.append(progress_topic(pool), [], fence=fence, timeout=STORE_TIMEOUT)
     await asyncio.gather(
-        _read_between(store, topic, page.end, offset, found),
-        _read_progress(store, pool, found),
+        _read_records_before_claim(store, topic, page.end, offset, inherited),
+        _read_progress(store, pool, inherited),
     )
-    return found
+    return inherited
 
 
-async def _read_progress(store: Store, pool: str, found: Inheritance) -> None:
+async def _read_progress(store: Store, pool: str, inherited: Inheritance) -> None:
     topic = progress_topic(pool)
-    page = await newest_of_all(store, topic, CALL_TIME)
-    take_all(found, page.items, topic)
+    page = await newest_of_all(store, topic, STORE_TIMEOUT)
+    take_records(inherited, page.items, topic)
 
 
-async def _read_between(
-    store: Store, topic: str, start: int, end: int, found: Inheritance
+async def _read_records_before_claim(
+    store: Store, topic: str, start: int, end: int, inherited: Inheritance
 ) -> None:
-    """Take in what came between the read before the claim and the claim itself."""
+    """Apply the records between the end of the first read and the claim."""
     while start < end:
-        tail = await store.read(topic, start, wait=0.0, timeout=CALL_TIME)
+        tail = await store.read(topic, start, wait=0.0, timeout=STORE_TIMEOUT)
         items = tuple(
             Newest(record.key, record.value, start + i)
             for i, record in enumerate(tail.records)
         )
-        take_all(found, tuple(item for item in items if item.offset < end), topic)
+        take_records(
+            inherited, tuple(item for item in items if item.offset < end), topic
+        )
         if tail.next <= start:
             return
         start = tail.next
 
 
 async def release_pool(store: Store, pool: str, term: int) -> None:
-    """Record that the owner of a term has stopped all its calls to hosts."""
+    """Store that the owner of a term has stopped all its calls to hosts."""
     record = record_of(Released(term))
-    await store.append(job_topic(pool), [record], timeout=CALL_TIME)
+    await store.append(job_topic(pool), [record], timeout=STORE_TIMEOUT)
--- a/siskinroad/work/claims.py
+++ b/siskinroad/work/claims.py
@@ -1,10 +1,14 @@
-"""When this daemon claims a pool, owns it, and gives it up.
+"""Claims, ownership and release of pools by this daemon.
 
-Loads that this answers: owners that are killed (their pools are claimed as soon as
-that is known); everything killed at once (the first daemons up claim, and ask before
-that whether the last owner still listens); rolling stops while the store is slow (the
-next owner waits for few of the last records); a cut that heals (who was cut off from
-the store and the owner alike listens for the owner before it claims).
+The failures that this handles:
+
+- An owner is killed: its pools are claimed as soon as that is known.
+- All daemons are killed at once: the first ones to start claim the pools, after a
+  check whether the last owner still listens.
+- Daemons stop one after another while the store is slow: the next owner waits only
+  a short time for the last records.
+- A network partition heals: a daemon that was cut off from both the store and the
+  owner waits for heartbeats of the owner before it claims.
 """
 
 from __future__ import annotations
@@ -25,46 +29,51 @@
 
 __all__ = ["Claims"]
 
-# Seconds between two looks at pools without an owner.
-CLAIM_TICK = 0.2
-# Seconds after the start before a pool without an owner is claimed: the other
-# daemons have to be heard first. Until it has been up for longer, a daemon asks
-# whether the last owner on record still listens.
-FIRST_CLAIM = 0.35
-YOUNG_TIME = 1.5
-# Seconds for which a pool must be seen without an owner.
-CLAIM_PATIENCE = 0.25
-# The same after the store was not reached for a while: links to the other daemons
-# were cut as well, perhaps, and need so long until the owner is heard again.
-HEAL_PATIENCE = 1.0
-# Seconds of a claim's first read from which on the daemon may have been cut off.
-LONG_READ = 0.7
-# Seconds for a leaving owner's last records; a stop must end within its grace.
-RELEASE_TIME = 1.0
-# Seconds of that for which the next owner is made to wait.
-HANDOVER_TIME = 0.15
+# Longest interval in seconds between two checks for pools without an owner.
+CLAIM_CHECK_INTERVAL = 0.2
+# Seconds after its start before a daemon claims a pool. With less, it would claim
+# before it has received the heartbeats of the other daemons.
+CLAIM_STARTUP_DELAY = 0.35
+# Uptime in seconds up to which a daemon probes the stored owner before it claims, as
+# it may not yet have received that owner's heartbeats.
+OWNER_PROBE_UPTIME = 1.5
+# Seconds for which a pool must have had no live owner before it is claimed, unless its
+# owner released it.
+CLAIM_DELAY = 0.25
+# Seconds without claims after the store replies again. The links to other daemons may
+# have been cut as well, and it takes this long to receive the owner's heartbeats again.
+RECOVERY_CLAIM_DELAY = 1.0
+# Duration in seconds of a claim's first read above which the daemon may have been cut
+# off from the network meanwhile.
+SLOW_READ_TIME = 0.7
+# Time-out in seconds, after HANDOVER_WAIT, for a leaving owner to store its last
+# records. A longer one could exceed the grace period in which the daemon must stop.
+RELEASE_TIMEOUT = 1.0
+# Longest time in seconds for which the next owner waits for these records. Then the
+# other daemons are told of the release, whether it is stored or not.
+HANDOVER_WAIT = 0.15
 
 log = logging.getLogger("siskinroad.claims")
 
 
 class Claims:
-    """The pools that this daemon owns or is about to own.
+    """Manager of the pools that this daemon owns or is claiming.
 
     Parameters
     ----------
-    beat : callable
-        Tells all other daemons at once what this one owns.
+    send_heartbeat : callable
+        Sends a heartbeat with the owned pools to all other daemons at once.
 
     Attributes
     ----------
     setup : Setup or None
         The configuration in force; nothing is claimed without one.
     leaving : bool
-        This daemon stops and claims nothing more.
+        Whether this daemon is stopping and claims no more pools.
     owners : dict of str to PoolOwner
-        The pools that it owns.
+        Owners of the pools that this daemon owns, by pool.
     wanted : asyncio.Event
-        A pool may have lost its owner.
+        Set when a pool may have lost its owner.
     """
 
     def __init__(
@@ -75,7 +84,7 @@
         store: RelayStore,
         parts: OwnerParts,
         hosts: dict[str, HostEntry],
-        beat: Callable[[], None],
+        send_heartbeat: Callable[[], None],
     ) -> None:
         self.setup: Setup | None = None
         self.leaving = False
@@ -87,79 +96,87 @@
         self._store = store
         self._parts = parts
         self._hosts = hosts
-        self._beat = beat
-        self._runs: dict[str, asyncio.Task[None]] = {}
-        self._vacant: dict[str, float] = {}
-        self._healed_at = -1e9
+        self._send_heartbeat = send_heartbeat
+        self._pool_tasks: dict[str, asyncio.Task[None]] = {}
+        self._vacant_since: dict[str, float] = {}
+        self._store_recovered_at = -1e9
         self._started_at = asyncio.get_running_loop().time()
 
     @property
     def pools(self) -> list[str]:
-        """The pools that this daemon owns or is about to own."""
-        return list(self._runs)
+        """Names of the pools that this daemon owns or is claiming."""
+        return list(self._pool_tasks)
 
     @property
     def claiming(self) -> tuple[str, ...]:
-        """The pools that it is about to own."""
-        return tuple(pool for pool in self._runs if pool not in self.owners)
+        """Names of the pools that this daemon is claiming."""
+        return tuple(pool for pool in self._pool_tasks if pool not in self.owners)
 
     @property
     def able(self) -> bool:
-        """Whether this daemon has heard enough to claim a pool."""
-        heard = self._up() >= FIRST_CLAIM
-        return heard and self.setup is not None and not self.leaving
+        """Whether this daemon is up long enough, configured and not leaving."""
+        is_up_long_enough = self._uptime() >= CLAIM_STARTUP_DELAY
+        return is_up_long_enough and self.setup is not None and not self.leaving
 
-    def _up(self) -> float:
+    def _uptime(self) -> float:
         return asyncio.get_running_loop().time() - self._started_at
 
     async def run(self) -> None:
-        """Claim pools without an owner until cancelled."""
+        """Claim pools that have no owner, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             try:
-                async with asyncio.timeout(CLAIM_TICK):
+                async with asyncio.timeout(CLAIM_CHECK_INTERVAL):
                     await self.wanted.wait()
             except TimeoutError:
                 pass
             self.wanted.clear()
             for pool in self.setup.pools if self.setup else ():
-                vacant = pool not in self._runs and self._is_vacant(pool, loop.time())
-                if vacant and self.able:
-                    self._runs[pool] = loop.create_task(self._own(pool))
-                    self._beat()
+                should_claim = pool not in self._pool_tasks and self._should_claim(
+                    pool, loop.time()
+                )
+                if should_claim and self.able:
+                    self._pool_tasks[pool] = loop.create_task(self._own_pool(pool))
+                    self._send_heartbeat()
 
-    def _is_vacant(self, pool: str, now: float) -> bool:
-        """Return whether this daemon is to claim the pool now."""
+    def _should_claim(self, pool: str, now: float) -> bool:
+        """Return whether this daemon should claim the pool now."""
         if self._members.owner(pool, now) is not None:
-            self._vacant.pop(pool, None)
+            self._vacant_since.pop(pool, None)
             return False
         if self._members.claimant(pool, now) is not None:
             return False
-        since = self._vacant.setdefault(pool, now)
-        given_up = self._members.has_given_up(pool, now)
-        if now - since < CLAIM_PATIENCE and not given_up:
+        vacant_since = self._vacant_since.setdefault(pool, now)
+        released = self._members.was_released(pool, now)
+        if now - vacant_since < CLAIM_DELAY and not released:
             return False
-        if now - self._healed_at < HEAL_PATIENCE:
+        if now - self._store_recovered_at < RECOVERY_CLAIM_DELAY:
             return False
         age = now - self._store.answered_at
-        return self._members.should_claim(pool, now, len(self._runs), age)
+        return self._members.should_claim(pool, now, len(self._pool_tasks), age)
 
     def store_returned(self) -> None:
-        """Note that the store answers this daemon again after a silence."""
-        self._healed_at = asyncio.get_running_loop().time()
+        """Note that the store replies to this daemon again after an outage."""
+        self._store_recovered_at = asyncio.get_running_loop().time()
 
-    async def _is_owned(self, pool: str, owner: OwnerRecord, began: float) -> bool:
-        """Return whether a pool has an owner after all, just before it is claimed."""
+    async def _has_live_owner(
+        self, pool: str, owner: OwnerRecord, started_at: float
+    ) -> bool:
+        """Return whether a pool has a live owner, checked just before the claim."""
         loop = asyncio.get_running_loop()
-        if loop.time() - began > LONG_READ:
-            await asyncio.sleep(HEAL_PATIENCE)
+        if loop.time() - started_at > SLOW_READ_TIME:
+            await asyncio.sleep(RECOVERY_CLAIM_DELAY)
         if self._members.owner(pool, loop.time()) is not None:
             return True
-        return await self._may_live(owner)
+        return await self._may_be_alive(owner)
+
+    async def _may_be_alive(self, owner: OwnerRecord) -> bool:
+        """Return whether the stored owner may be alive though no heartbeat came yet.
 
-    async def _may_live(self, owner: OwnerRecord) -> bool:
-        """Return whether an owner that this young daemon has not heard may live."""
-        if self._up() > YOUNG_TIME or owner.node == self._member.node:
+        Only a daemon that started recently asks; later on, the owner's heartbeats
+        would have been received.
+        """
+        if self._uptime() > OWNER_PROBE_UPTIME or owner.node == self._member.node:
             return False
         known = self._members.known.get(owner.node)
         if known is None or known.incarnation != owner.incarnation:
@@ -169,70 +186,80 @@
             return False
         return await self._peers.probe(owner.node) is Reach.LISTENS
 
-    async def _own(self, pool: str) -> None:
-        """Claim a pool and own it until another daemon takes it."""
+    async def _own_pool(self, pool: str) -> None:
+        """Claim a pool and own it until another daemon takes it over."""
         event = "failed"
         try:
-            owner = await self._claim(pool)
+            owner = await self._claim_pool(pool)
             event = "won"
             await owner.run()
         except Deposed as exc:
             event = "deposed"
-            log.warning("claims: pool is lost", extra={"pool": pool, "why": str(exc)})
+            log.warning(
+                "claims: ownership of pool lost", extra={"pool": pool, "why": str(exc)}
+            )
         except SiskinroadError as exc:
             log.warning(
-                "claims: pool is not claimed", extra={"pool": pool, "why": str(exc)}
+                "claims: claiming or owning pool failed",
+                extra={"pool": pool, "why": str(exc)},
             )
         except Exception:
             event = "failed"
-            log.exception("claims: owner has failed", extra={"pool": pool})
+            log.exception(
+                "claims: owner of pool failed unexpectedly", extra={"pool": pool}
+            )
         finally:
             self._parts.metrics.claims.labels(event).inc()
             self.owners.pop(pool, None)
-            self._runs.pop(pool, None)
-            self._vacant.pop(pool, None)
+            self._pool_tasks.pop(pool, None)
+            self._vacant_since.pop(pool, None)
 
-    async def _claim(self, pool: str) -> PoolOwner:
+    async def _claim_pool(self, pool: str) -> PoolOwner:
         assert self.setup is not None
         record = OwnerRecord(self._member.node, self._member.incarnation)
-        began = asyncio.get_running_loop().time()
-        found = await claim_pool(
-            self._store, pool, record, lambda o: self._is_owned(pool, o, began)
+        started_at = asyncio.get_running_loop().time()
+        inherited = await claim_pool(
+            self._store,
+            pool,
+            record,
+            lambda former: self._has_live_owner(pool, former, started_at),
         )
-        owner = PoolOwner(pool, self._parts, found, self.setup)
+        owner = PoolOwner(pool, self._parts, inherited, self.setup)
         self.owners[pool] = owner
-        self._beat()
-        # Its tasks can be spawned once it runs.
+        self._send_heartbeat()
+        # Deferred until the owner runs: before that, its tasks cannot be spawned.
         asyncio.get_running_loop().call_soon(owner.hosts_listed, self._hosts)
         return owner
 
     async def give_up_all(self) -> None:
-        """Hand every pool over; accepted work goes on under other owners."""
+        """Release every pool; accepted work continues under other owners."""
         pools = self.pools
-        await asyncio.gather(*(self._give_up(pool) for pool in pools))
-        log.info("claims: pools are given up", extra={"pools": pools})
+        await asyncio.gather(*(self._release_pool(pool) for pool in pools))
+        log.info("claims: all pools released", extra={"pools": pools})
 
-    async def _give_up(self, pool: str) -> None:
+    async def _release_pool(self, pool: str) -> None:
         owner = self.owners.get(pool)
-        task = self._runs[pool]
+        task = self._pool_tasks[pool]
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         if owner is None:
-            self._beat()
+            self._send_heartbeat()
             return
-        # All calls to hosts have ended. The next owner waits for the last records
-        # only while the store is quick: what they lack, the hosts list again.
+        # All calls to hosts have ended. The next owner waits for the last records only
+        # if the store is fast: hosts list again whatever those records lack.
         release = asyncio.get_running_loop().create_task(owner.release())
-        await asyncio.wait({release}, timeout=HANDOVER_TIME)
-        self._beat()
-        await asyncio.wait({release}, timeout=RELEASE_TIME)
+        await asyncio.wait({release}, timeout=HANDOVER_WAIT)
+        self._send_heartbeat()
+        await asyncio.wait({release}, timeout=RELEASE_TIMEOUT)
         if not release.done():
             release.cancel()
-            log.warning("claims: release is not on record", extra={"pool": pool})
+            log.warning(
+                "claims: release of pool not stored in time", extra={"pool": pool}
+            )
 
     async def close(self) -> None:
-        """Stop owning at once."""
-        tasks = list(self._runs.values())
+        """Stop owning all pools at once, without a release."""
+        tasks = list(self._pool_tasks.values())
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/tests/work/test_claim.py
+++ b/tests/work/test_claim.py
@@ -17,7 +17,7 @@
 from tests.work.cell import job
 
 POOL = "p"
-A, B = OwnerRecord("a", 1), OwnerRecord("b", 1)
+OWNER_A, OWNER_B = OwnerRecord("a", 1), OwnerRecord("b", 1)
 
 
 def accepted(name):
@@ -25,7 +25,7 @@
 
 
 class SlowStore(MemoryStore):
-    """Every append takes a while, and others append meanwhile."""
+    """Store with slow appends, during which another writer appends too."""
 
     count = 0
 
@@ -37,33 +37,33 @@
         return await super().append(topic, records, **fields)
 
 
-def test_a_claim_meets_everything_before_it_and_names_its_former():
-    async def play():
+def test_a_claim_reads_all_earlier_records_and_the_former_owner():
+    async def scenario():
         store = MemoryStore(MemoryLogs())
         await store.append(job_topic(POOL), [accepted("j1")])
-        first = await claim_pool(store, POOL, A)
+        first = await claim_pool(store, POOL, OWNER_A)
         await store.append(job_topic(POOL), [accepted("j2")])
-        second = await claim_pool(store, POOL, B)
+        second = await claim_pool(store, POOL, OWNER_B)
         assert first.former is None and list(first.accepted) == ["j1"]
-        assert second.former == A and second.former_term == first.term
+        assert second.former == OWNER_A and second.former_term == first.term
         assert sorted(second.accepted) == ["j1", "j2"] and second.term > first.term
 
-    run(play())
+    run(scenario())
 
 
 def test_a_claim_succeeds_while_others_append_to_a_slow_store():
-    async def play():
-        found = await claim_pool(SlowStore(MemoryLogs()), POOL, A)
-        assert found.term and "other-1" in found.accepted
+    async def scenario():
+        inherited = await claim_pool(SlowStore(MemoryLogs()), POOL, OWNER_A)
+        assert inherited.term and "other-1" in inherited.accepted
 
-    run(play())
+    run(scenario())
 
 
-def test_of_two_claims_at_once_the_later_one_fences_the_other():
-    async def play():
+def test_the_later_of_two_concurrent_claims_fences_the_other():
+    async def scenario():
         store = MemoryStore(MemoryLogs())
         one, two = await asyncio.gather(
-            claim_pool(store, POOL, A), claim_pool(store, POOL, B)
+            claim_pool(store, POOL, OWNER_A), claim_pool(store, POOL, OWNER_B)
         )
         low, high = sorted((one.term, two.term))
         await store.append(
@@ -74,43 +74,43 @@
                 progress_topic(POOL), [Record("k", b"w")], fence=Fence(PRODUCER, low, 1)
             )
 
-    run(play())
+    run(scenario())
 
 
-def test_a_release_counts_for_its_own_term_only():
-    async def play():
+def test_a_release_applies_to_its_own_term_only():
+    async def scenario():
         store = MemoryStore(MemoryLogs())
-        first = await claim_pool(store, POOL, A)
-        second = await claim_pool(store, POOL, B)
+        first = await claim_pool(store, POOL, OWNER_A)
+        second = await claim_pool(store, POOL, OWNER_B)
         await release_pool(store, POOL, first.term)
-        third = await claim_pool(store, POOL, A)
-        assert third.former == B and third.former_term == second.term
+        third = await claim_pool(store, POOL, OWNER_A)
+        assert third.former == OWNER_B and third.former_term == second.term
         assert third.released_term == first.term < third.former_term
 
-    run(play())
+    run(scenario())
 
 
-def test_owners_before_the_former_one_count_until_it_had_settled_their_work():
-    async def play():
+def test_earlier_owners_may_have_runs_until_the_former_owner_has_reconciled_them():
+    async def scenario():
         store = MemoryStore(MemoryLogs())
-        first = await claim_pool(store, POOL, A)
-        second = await claim_pool(store, POOL, B)
+        first = await claim_pool(store, POOL, OWNER_A)
+        second = await claim_pool(store, POOL, OWNER_B)
         assert not second.former_alone
         hosts = record_of(HostSet(("i-0",), second.term, True))
         await store.append(
             progress_topic(POOL), [hosts], fence=Fence(PRODUCER, second.term, 1)
         )
-        third = await claim_pool(store, POOL, A)
+        third = await claim_pool(store, POOL, OWNER_A)
         assert third.former_alone and first.former_alone
 
-    run(play())
+    run(scenario())
 
 
-def test_records_that_cannot_be_read_are_left_out():
-    async def play():
+def test_unreadable_records_are_skipped():
+    async def scenario():
         store = MemoryStore(MemoryLogs())
         await store.append(job_topic(POOL), [Record("x", b"\xc1"), accepted("j1")])
-        found = await claim_pool(store, POOL, A)
-        assert list(found.accepted) == ["j1"]
+        inherited = await claim_pool(store, POOL, OWNER_A)
+        assert list(inherited.accepted) == ["j1"]
 
-    run(play())
+    run(scenario())
