--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -1,4 +1,4 @@
-"""One daemon on the platform's store, every part wired together."""
+"""The daemon: wires its components together and dispatches messages from peers."""
 
 from __future__ import annotations
 
@@ -46,30 +46,31 @@
 
 __all__ = ["WorkDaemon"]
 
-# Seconds between two tries to put this daemon on record.
-JOIN_RETRY = 0.3
-# Seconds between two looks whether a silent store is back before pools are given up.
-DRAIN_LOOK = 0.1
-# Seconds between two reads of the live list: leaving hosts must be known within
-# the platform's bound of a few seconds.
-LIST_SPACING = 0.5
-# Seconds for which the store may wait for a new member: they are rare.
-MEMBERS_WAIT = 5.0
+# Seconds between two attempts to store this daemon's member record.
+REGISTRATION_RETRY_INTERVAL = 0.3
+# Seconds between two checks, while draining, whether a silent store answers again.
+DRAIN_POLL_INTERVAL = 0.1
+# Seconds between two reads of the live host list: the platform requires that a
+# departing host is noticed within a few seconds.
+HOST_LIST_READ_INTERVAL = 0.5
+# Seconds for which the store may hold a read open for a new member record; new
+# members are rare.
+MEMBERS_READ_WAIT = 5.0
 
 log = logging.getLogger("siskinroad.daemon")
 
 
 class WorkDaemon:
-    """A daemon without its listeners.
+    """A daemon without its HTTP listeners.
 
     Parameters
     ----------
     member : Member
-        This daemon, its life and its address for others.
+        This daemon's name, its incarnation and its address for peers.
     peers : Peers
-        Links to the other daemons.
-    learn : callable
-        Tells the links of a member's address.
+        Connections to the other daemons.
+    register_address : callable
+        Gives the connection layer the address of a member.
     wall : callable
         Returns Unix time in seconds.
     """
@@ -79,7 +80,7 @@
         member: Member,
         outside: Outside,
         peers: Peers,
-        learn: Callable[[Member], None],
+        register_address: Callable[[Member], None],
         timing: Timing,
         wall: Callable[[], float],
     ) -> None:
@@ -90,16 +91,16 @@
         self.metrics = WorkMetrics()
         self.members = Members(member.node, member.incarnation)
         self.hosts: dict[str, HostEntry] = {}
-        self._learn = learn
+        self._register_address = register_address
         self._tasks: list[asyncio.Task[None]] = []
-        self._suspend = SuspendWatch()
-        self._answers: set[asyncio.Task[None]] = set()
+        self._suspend_detector = SuspendWatch()
+        self._background_tasks: set[asyncio.Task[None]] = set()
         now = asyncio.get_running_loop().time
         self.calls = Calls(peers, member.incarnation << 20)
         self.store = RelayStore(
             outside.store, self.calls, lambda: self.members.reaches_store(now())
         )
-        self.store.returned = self._store_returned
+        self.store.returned = self._on_store_recovered
         self.watch = StoreWatch(
             outside.store,
             MEMBERS_TOPIC,
@@ -127,14 +128,14 @@
             self.store,
             self.parts,
             self.hosts,
-            self._beat,
+            self._send_heartbeats,
         )
         self.owners = self.claims.owners
         self.intake = Intake(
             member.node,
             self.store,
             self.calls,
-            self._gatherer_of,
+            self._job_writer_of,
             lambda node: self.members.answers(node, now()),
             lambda: self.store.heard_at,
             self.metrics,
@@ -154,113 +155,127 @@
         peers.connected = self._connected
         peers.disconnected = self._disconnected
         decoder = outside.decoder
-        self.setups = Follower(self.store, decoder.setup_topic, self._take_setup)
+        self.setup_follower = Follower(
+            self.store, decoder.setup_topic, self._apply_setups
+        )
         self.list = Follower(
-            self.store, decoder.hosts_topic, self._take_hosts, spacing=LIST_SPACING
+            self.store,
+            decoder.hosts_topic,
+            self._apply_host_list,
+            spacing=HOST_LIST_READ_INTERVAL,
         )
-        self.roll = Follower(
-            self.store, MEMBERS_TOPIC, self._take_members, wait=MEMBERS_WAIT
+        self.members_follower = Follower(
+            self.store, MEMBERS_TOPIC, self._apply_members, wait=MEMBERS_READ_WAIT
         )
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether this daemon should receive requests from callers."""
         return self.desk.setup is not None and not self.claims.leaving
 
     def start(self) -> None:
-        """Start every loop of the daemon."""
+        """Start the daemon's background loops."""
         for coro in (
-            self._run_join(),
-            self.setups.run(),
-            self.roll.run(),
+            self._run_registration(),
+            self.setup_follower.run(),
+            self.members_follower.run(),
             self.list.run(),
             self.watch.run(),
-            self._run_beats(),
+            self._run_heartbeats(),
             self.claims.run(),
         ):
-            task = asyncio.get_running_loop().create_task(_guarded(coro))
+            task = asyncio.get_running_loop().create_task(_log_unexpected_error(coro))
             self._tasks.append(task)
 
-    async def drain(self, patience: float = 0.0) -> None:
-        """Hand every pool over; accepted work goes on under other owners.
+    async def drain(self, store_wait: float = 0.0) -> None:
+        """Release every pool; accepted work continues under other owners.
 
         Parameters
         ----------
-        patience : float
-            Seconds for which the pools are kept while the store answers nobody:
-            no other daemon could claim them, and their leases would lapse.
+        store_wait : float
+            Seconds for which the pools are kept while the store does not answer:
+            no other daemon could claim them, and the leases of their hosts would
+            expire.
         """
         self.claims.leaving = True
-        self._beat()
+        self._send_heartbeats()
         try:
-            async with asyncio.timeout(patience):
-                while self.claims.pools and not await self._store_answers():
-                    await asyncio.sleep(DRAIN_LOOK)
+            async with asyncio.timeout(store_wait):
+                while self.claims.pools and not await self._is_store_reachable():
+                    await asyncio.sleep(DRAIN_POLL_INTERVAL)
         except TimeoutError:
-            log.warning("daemon: stops without an answer of the store")
+            log.warning(
+                "daemon: store did not answer in time; releasing the pools and stopping"
+            )
         await self.claims.give_up_all()
 
-    async def _store_answers(self) -> bool:
+    async def _is_store_reachable(self) -> bool:
         try:
-            await self.store.read(MEMBERS_TOPIC, self.roll.next, wait=0.0)
+            await self.store.read(MEMBERS_TOPIC, self.members_follower.next, wait=0.0)
         except SiskinroadError as exc:
             log.info(
-                "daemon: store is silent, keeps its pools for now",
+                "daemon: store does not answer; keeping the pools while draining",
                 extra={"error": str(exc)},
             )
             return False
         return True
 
     async def close(self) -> None:
-        """Stop every loop at once."""
+        """Stop every loop immediately, without releasing the pools."""
         self.intake.close()
         await self.claims.close()
-        tasks = [*self._tasks, *self._answers]
+        tasks = [*self._tasks, *self._background_tasks]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         await self.peers.close()
         await self.store.close()
 
-    # Members and beats
+    # Members and heartbeats
 
-    async def _run_join(self) -> None:
-        """Put this daemon on record until the store has it."""
+    async def _run_registration(self) -> None:
+        """Append this daemon's member record, retrying until it is stored."""
         while True:
             try:
                 await self.store.append(MEMBERS_TOPIC, [record_of(self.member)])
             except SiskinroadError as exc:
-                log.warning("daemon: not on record yet", extra={"error": str(exc)})
-                await asyncio.sleep(JOIN_RETRY)
+                log.warning(
+                    "daemon: member record not stored; retrying",
+                    extra={"error": str(exc)},
+                )
+                await asyncio.sleep(REGISTRATION_RETRY_INTERVAL)
                 continue
             return
 
-    def _take_members(self, items: tuple[Newest, ...], whole: bool) -> None:
-        if whole:
+    def _apply_members(self, items: tuple[Newest, ...], is_snapshot: bool) -> None:
+        if is_snapshot:
             self.members.forget_all_but({item.key for item in items})
         for item in items:
             if item.value:
-                self._take_member(item)
+                self._apply_member_record(item)
 
-    def _take_member(self, item: Newest) -> None:
+    def _apply_member_record(self, item: Newest) -> None:
         try:
             member = unpack(item.value)
         except SiskinroadError as exc:
-            log.error("daemon: member is not readable", extra={"error": str(exc)})
+            log.error(
+                "daemon: member record cannot be decoded; ignoring it",
+                extra={"error": str(exc)},
+            )
             return
         if isinstance(member, Member):
-            self._meet(member)
+            self._register_member(member)
 
-    def _meet(self, member: Member) -> None:
-        """Take in a member on record, or one that says so itself."""
+    def _register_member(self, member: Member) -> None:
+        """Register a member found in the store or introduced by its own message."""
         if member.node == self.member.node or not self.members.learn(member):
             return
-        self._learn(member)
+        self._register_address(member)
         log.info(
-            "daemon: member",
+            "daemon: new member or incarnation",
             extra={"peer": member.node, "incarnation": member.incarnation},
         )
-        self.peers.send(member.node, self._make_beat())
+        self.peers.send(member.node, self._make_heartbeat())
 
     def _connected(self, peer: str) -> None:
         own = self.member
@@ -269,16 +284,18 @@
             Hello(own.node, own.incarnation, own.address, own.data_centre, own.region),
         )
 
-    async def _run_beats(self) -> None:
+    async def _run_heartbeats(self) -> None:
         while True:
-            if self._suspend.suspended():
-                log.warning("daemon: was suspended")
+            if self._suspend_detector.suspended():
+                log.warning(
+                    "daemon: process was suspended; owners must confirm their claims"
+                )
                 for owner in self.owners.values():
-                    owner.lose_right()
-            self._beat()
+                    owner.revoke_right()
+            self._send_heartbeats()
             await asyncio.sleep(OWNER_BEAT_TIME if self.claims.pools else BEAT_TIME)
 
-    def _make_beat(self) -> Beat:
+    def _make_heartbeat(self) -> Beat:
         now = asyncio.get_running_loop().time()
         owned = tuple((pool, owner.term.number) for pool, owner in self.owners.items())
         age = round(now - self.store.answered_at, 1)
@@ -293,41 +310,41 @@
             self.claims.claiming,
         )
 
-    def _beat(self) -> None:
-        beat = self._make_beat()
+    def _send_heartbeats(self) -> None:
+        heartbeat = self._make_heartbeat()
         for node in self.members.others():
-            self.peers.send(node, beat)
+            self.peers.send(node, heartbeat)
 
-    def _store_returned(self) -> None:
-        log.warning("daemon: store answers again after a silence")
+    def _on_store_recovered(self) -> None:
+        log.warning("daemon: store answers again; restarting pending reads")
         self.claims.store_returned()
-        followers = [self.setups, self.list, self.roll]
+        followers = [self.setup_follower, self.list, self.members_follower]
         followers += [owner.follower for owner in self.owners.values()]
         for follower in followers:
             follower.nudge()
 
     # Configuration and hosts
 
-    def _take_setup(self, items: tuple[Newest, ...], whole: bool) -> None:
+    def _apply_setups(self, items: tuple[Newest, ...], is_snapshot: bool) -> None:
         for item in items:
             setup = self.outside.decoder.setup(item.key, item.value)
             if setup is not None:
-                self._put_in_force(setup)
+                self._activate_setup(setup)
 
-    def _put_in_force(self, setup: Setup) -> None:
+    def _activate_setup(self, setup: Setup) -> None:
         known = self.desk.setup
         if known is not None and setup.version <= known.version:
             return
         self.desk.setup = self.claims.setup = setup
         log.info(
-            "daemon: configuration is in force",
+            "daemon: configuration applied",
             extra={"version": setup.version, "queues": len(setup.queues)},
         )
         for owner in self.owners.values():
             owner.configure(setup)
 
-    def _take_hosts(self, items: tuple[Newest, ...], whole: bool) -> None:
-        if whole:
+    def _apply_host_list(self, items: tuple[Newest, ...], is_snapshot: bool) -> None:
+        if is_snapshot:
             self.hosts.clear()
         for item in items:
             entry = self.outside.decoder.host(item.key, item.value)
@@ -339,20 +356,20 @@
             owner.hosts_listed(self.hosts)
 
     def _owner_of(self, pool: str) -> str | None:
-        """Return the daemon that owns a pool, this one included."""
+        """Return the daemon that owns a pool, which may be this one."""
         if pool in self.owners:
             return self.member.node
         return self.members.owner(pool, asyncio.get_running_loop().time())
 
-    def _gatherer_of(self, pool: str) -> str:
-        """Return the daemon that stores a pool's jobs, this one included."""
+    def _job_writer_of(self, pool: str) -> str:
+        """Return the pool's job writer, which may be this daemon."""
         owner = self._owner_of(pool)
         if owner is not None:
             return owner
         if pool in self.claims.pools:
             return self.member.node
         now = asyncio.get_running_loop().time()
-        # One that leaves hands over to others, who choose it no longer.
+        # A draining daemon never selects itself: the others no longer select it either.
         age = float("inf") if self.claims.leaving else now - self.store.answered_at
         return self.members.gatherer(pool, now, age)
 
@@ -369,9 +386,9 @@
                 self.lines.heard(msg.node, msg.backlog, now)
                 if msg.leaving:
                     self.claims.wanted.set()
-                self._compare_terms(msg)
+                self._check_for_later_terms(msg)
             case Hello():
-                self._meet(
+                self._register_member(
                     Member(
                         msg.node,
                         msg.incarnation,
@@ -383,31 +400,31 @@
             case JobAnswer() | AdviceReply() | RelayReply() | SubmitReply():
                 self.calls.answered(msg.id, msg)
             case SubmitRequest():
-                self._reply(peer, self.intake.accept(msg))
+                self._reply_when_done(peer, self.intake.accept(msg))
             case JobQuestion():
-                self._reply(peer, self.desk.answer(msg))
+                self._reply_when_done(peer, self.desk.answer(msg))
             case AdviceRequest():
-                self._reply(peer, self.lines.answer(msg))
+                self._reply_when_done(peer, self.lines.answer(msg))
             case RelayRequest():
-                self._reply(peer, self.store.serve(msg))
+                self._reply_when_done(peer, self.store.serve(msg))
 
-    def _compare_terms(self, beat: Beat) -> None:
-        """Let an owner look again whose pool another daemon owns by a later claim."""
-        for pool, term in beat.owned:
+    def _check_for_later_terms(self, heartbeat: Beat) -> None:
+        """Make an owner recheck its claim if a peer reports a later term."""
+        for pool, term in heartbeat.owned:
             owner = self.owners.get(pool)
             if owner is not None and term > owner.term.number:
                 owner.doubt()
 
     def _disconnected(self, peer: str) -> None:
-        """Look whether a peer whose connection has ended still lives.
+        """Check whether a peer whose connection has closed is still running.
 
-        Load that this answers: owners that are killed. Without this look, what
-        is urgent waits until their beats are missed.
+        Without this check, urgent work of a killed owner waits until its
+        heartbeats time out.
         """
         if peer in self.members.heard:
-            self._background(self._look_after(peer))
+            self._run_in_background(self._check_peer(peer))
 
-    async def _look_after(self, peer: str) -> None:
+    async def _check_peer(self, peer: str) -> None:
         heard = self.members.heard.get(peer)
         reach = await self.peers.probe(peer)
         if reach is not Reach.REFUSES or self.members.heard.get(peer) != heard:
@@ -415,7 +432,7 @@
         now = asyncio.get_running_loop().time()
         owned = heard.beat.owned if heard is not None else ()
         log.warning(
-            "daemon: peer has ended",
+            "daemon: peer refuses connections; its process has ended",
             extra={
                 "peer": peer,
                 "silent_s": round(now - heard.at, 2) if heard else None,
@@ -425,24 +442,24 @@
         self.members.ended(peer, now)
         self.claims.wanted.set()
 
-    def _background(self, coro: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(_guarded(coro))
-        self._answers.add(task)
-        task.add_done_callback(self._answers.discard)
+    def _run_in_background(self, coro: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(_log_unexpected_error(coro))
+        self._background_tasks.add(task)
+        task.add_done_callback(self._background_tasks.discard)
 
-    def _reply(self, peer: str, coro: Coroutine[Any, Any, Any]) -> None:
+    def _reply_when_done(self, peer: str, coro: Coroutine[Any, Any, Any]) -> None:
         async def send() -> None:
             self.peers.send(peer, await coro)
 
-        self._background(send())
+        self._run_in_background(send())
 
 
-async def _guarded(coro: Coroutine[Any, Any, None]) -> None:
-    """Log what ends a loop that should not end."""
+async def _log_unexpected_error(coro: Coroutine[Any, Any, None]) -> None:
+    """Log the exception that ends a background task, then raise it again."""
     try:
         await coro
     except asyncio.CancelledError:
         raise
     except Exception:
-        log.exception("daemon: a loop has failed")
+        log.exception("daemon: background task failed")
         raise
--- a/siskinroad/work/effects.py
+++ b/siskinroad/work/effects.py
@@ -1,4 +1,4 @@
-"""What the owner's decisions ask the shell to carry out."""
+"""Effects: actions that an owner's decisions request and its shell executes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartRun:
-    """Send the start of a run that has its room."""
+    """Request to start a run whose capacity is reserved."""
 
     host: str
     run: Run
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StopRun:
-    """Send the stop of a run."""
+    """Request to stop a run."""
 
     host: str
     run: Run
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True, frozen=True)
 class PaceRun:
-    """Let a run work at ``percent`` of its speed."""
+    """Request to throttle a run to ``percent`` of its full speed."""
 
     host: str
     run: Run
@@ -40,14 +40,20 @@
 
 @dataclass(slots=True, frozen=True)
 class SettleHost:
-    """Ask a host at once, under its raised token, what it runs."""
+    """Request to settle a host: reconcile its runs with the owner's view.
+
+    The host is asked at once, with its raised token, what it runs.
+    """
 
     host: str
 
 
 @dataclass(slots=True, frozen=True)
 class AskAdvice:
-    """Ask which hosts a step may use; ``duration`` is the expected time."""
+    """Request for advice on which hosts a step may use.
+
+    ``duration`` is the expected time of the request in seconds.
+    """
 
     step: tuple[str, int, int]
     hosts: tuple[str, ...]
--- a/siskinroad/work/orders.py
+++ b/siskinroad/work/orders.py
@@ -1,4 +1,4 @@
-"""Sends an owner's orders to hosts, and its questions to the advisor."""
+"""Sending an owner's commands to hosts, and its requests to the advisor."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 from siskinroad.work.hosts import Order, Rejection, StartOrder
 from siskinroad.work.term import Term
 
-__all__ = ["Orders", "doubt_claim"]
+__all__ = ["Orders", "report_higher_token"]
 
-# Seconds for one order: a way between regions, and a host under load.
-ORDER_TIME = 0.5
-# Orders on their way to one host; more would open more connections.
-ORDERS_PER_HOST = 3
-STOP_RETRY = 0.25
-# Seconds before the advisor is asked again after it gave no answer.
-ADVICE_RETRY = 0.05
+# Seconds for one command, enough for a round trip between regions to a loaded host.
+COMMAND_TIMEOUT = 0.5
+# Concurrent commands to one host; more would open more connections.
+MAX_COMMANDS_PER_HOST = 3
+# Seconds before a stop that got no answer is sent again.
+STOP_RETRY_INTERVAL = 0.25
+# Seconds before another advice request after one that failed.
+ADVICE_RETRY_INTERVAL = 0.05
 
 log = logging.getLogger("siskinroad.orders")
 
 
-def doubt_claim(term: Term, host: Host) -> None:
-    """Note that a host has seen a higher token than this owner ever gave it."""
+def report_higher_token(term: Term, host: Host) -> None:
+    """Report that a host has seen a higher token than this owner ever sent to it."""
     log.warning(
-        "orders: host follows another owner",
+        "orders: host rejected the token; it has accepted another owner's higher one",
         extra={"host": host.name, "pool": term.pool, "token": host.token},
     )
     host.call_failed()
@@ -35,25 +36,27 @@
 
 
 class Orders:
-    """Carries single effects out and tells the book of the answers."""
+    """A command sender that reports the hosts' replies to the pool state."""
 
     def __init__(self, term: Term) -> None:
         self.term = term
-        self._slots: dict[str, asyncio.Semaphore] = {}
+        self._semaphores: dict[str, asyncio.Semaphore] = {}
 
-    def _slot(self, host: str) -> asyncio.Semaphore:
-        slot = self._slots.get(host)
-        if slot is None:
-            slot = self._slots[host] = asyncio.Semaphore(ORDERS_PER_HOST)
-        return slot
+    def _semaphore(self, host: str) -> asyncio.Semaphore:
+        semaphore = self._semaphores.get(host)
+        if semaphore is None:
+            semaphore = self._semaphores[host] = asyncio.Semaphore(
+                MAX_COMMANDS_PER_HOST
+            )
+        return semaphore
 
     async def start(self, effect: StartRun) -> None:
-        """Send a start, under the token that the host has by then."""
+        """Send a start with the host's token at the time of sending."""
         host = self.term.book.hosts.get(effect.host)
         if host is None:
             return
         loop = asyncio.get_running_loop()
-        async with self._slot(host.name):
+        async with self._semaphore(host.name):
             now = loop.time()
             if not self.term.book.may_send(host, effect.run):
                 self.term.carry_out(self.term.book.start_dropped(host, effect.run, now))
@@ -64,11 +67,12 @@
                     self.term.book.start_not_sent(host, effect.run, now)
                 )
                 return
-            # A token raised meanwhile voids this start; the new one applies.
+            # The token may have been raised since the effect was created, and the host
+            # would reject the old one.
             effect.run.token = host.token
             host.granted(now)
             task, number = effect.run.key
-            order = StartOrder(
+            command = StartOrder(
                 host.name,
                 host.entry.address,
                 host.token,
@@ -79,19 +83,19 @@
                 effect.checkpoint,
                 effect.ticket,
             )
-            effects = await self._send_start(host, effect.run, order)
+            effects = await self._send_start(host, effect.run, command)
         self.term.carry_out(effects)
         self.term.plan_wanted.set()
 
     async def _send_start(
-        self, host: Host, run: Run, order: StartOrder
+        self, host: Host, run: Run, command: StartOrder
     ) -> list[Effect]:
         loop = asyncio.get_running_loop()
         sent_at = loop.time()
         outcome = "started"
         try:
             async with asyncio.timeout(host.patience()):
-                answer = await self.term.parts.link.start(order)
+                reply = await self.term.parts.link.start(command)
         except NotSentError as exc:
             outcome = f"not sent: {exc}"
             effects = self.term.book.start_not_sent(host, run, loop.time())
@@ -103,18 +107,21 @@
             host.call_failed()
         else:
             host.answered_in(loop.time() - sent_at)
-            effects = self._started(host, run, order, answer.rejection)
-            if answer.rejection is not None:
-                outcome = answer.rejection.value
+            effects = self._handle_start_reply(host, run, command, reply.rejection)
+            if reply.rejection is not None:
+                outcome = reply.rejection.value
         self.term.parts.metrics.starts.labels(outcome.partition(":")[0]).inc()
         log.info(
-            "orders: start",
+            "orders: start command",
             extra={
-                "request": order.task.job,
-                "task": f"{order.task.occurrence}.{order.task.step}.{order.task.index}",
-                "run": order.run,
+                "request": command.task.job,
+                "task": (
+                    f"{command.task.occurrence}.{command.task.step}"
+                    f".{command.task.index}"
+                ),
+                "run": command.run,
                 "host": host.name,
-                "token": order.token,
+                "token": command.token,
                 "list_age_s": round(sent_at - host.clock_at, 2),
                 "took_s": round(loop.time() - sent_at, 3),
                 "outcome": outcome,
@@ -122,12 +129,12 @@
         )
         return effects
 
-    def _started(
-        self, host: Host, run: Run, order: StartOrder, rejection: Rejection | None
+    def _handle_start_reply(
+        self, host: Host, run: Run, command: StartOrder, rejection: Rejection | None
     ) -> list[Effect]:
         now = asyncio.get_running_loop().time()
-        if rejection is Rejection.FENCED and order.token >= host.token:
-            doubt_claim(self.term, host)
+        if rejection is Rejection.FENCED and command.token >= host.token:
+            report_higher_token(self.term, host)
         if rejection is Rejection.UNWELL:
             host.call_failed()
         if rejection is Rejection.OTHER_LIFE:
@@ -136,67 +143,67 @@
         return self.term.book.start_answered(host, run, rejection, now)
 
     async def stop(self, effect: StopRun) -> None:
-        """Send a stop until it is answered or the run is over."""
+        """Send a stop, repeated until it is answered or the run has ended."""
         task, number = effect.run.key
         while True:
             host = self.term.book.hosts.get(effect.host)
             if host is None:
                 return
-            async with self._slot(host.name):
+            async with self._semaphore(host.name):
                 if effect.run.state == "over":
                     return
-                # The token may have been raised while this waited for the slot.
-                order = self._order(host, effect.run)
-                outcome, answered = await self._send_stop(order)
+                # The token may have been raised while this waited for the semaphore.
+                command = self._make_command(host, effect.run)
+                outcome, is_final = await self._send_stop(command)
             log.info(
-                "orders: stop",
+                "orders: stop command",
                 extra={
                     "request": task.job,
                     "task": f"{task.occurrence}.{task.step}.{task.index}",
                     "run": number,
                     "host": host.name,
-                    "token": order.token,
+                    "token": command.token,
                     "why": effect.reason,
                     "outcome": outcome,
                 },
             )
-            if answered:
+            if is_final:
                 return
-            await asyncio.sleep(STOP_RETRY)
+            await asyncio.sleep(STOP_RETRY_INTERVAL)
 
-    async def _send_stop(self, order: Order) -> tuple[str, bool]:
-        """Send one stop; return its outcome, and whether that is final."""
+    async def _send_stop(self, command: Order) -> tuple[str, bool]:
+        """Send one stop; return its outcome and whether it is final."""
         try:
-            async with asyncio.timeout(ORDER_TIME):
-                answer = await self.term.parts.link.stop(order)
+            async with asyncio.timeout(COMMAND_TIMEOUT):
+                reply = await self.term.parts.link.stop(command)
         except (NotSentError, OutcomeUnknownError, TimeoutError) as exc:
             return f"unknown: {exc}", False
-        if answer.rejection is None:
+        if reply.rejection is None:
             return "sent", True
-        host = self.term.book.hosts.get(order.host)
-        overtaken = host is not None and order.token < host.token
-        again = answer.rejection is Rejection.FENCED and overtaken
-        return answer.rejection.value, not again
+        host = self.term.book.hosts.get(command.host)
+        is_superseded = host is not None and command.token < host.token
+        is_retryable = reply.rejection is Rejection.FENCED and is_superseded
+        return reply.rejection.value, not is_retryable
 
-    def _order(self, host: Host, run: Run) -> Order:
+    def _make_command(self, host: Host, run: Run) -> Order:
         task, number = run.key
         return Order(host.name, host.entry.address, host.token, task, number)
 
     async def pace(self, effect: PaceRun) -> None:
-        """Send a change of pace; one without an answer is decided anew later."""
+        """Throttle a run; if there is no answer, the monitor decides again later."""
         host = self.term.book.hosts.get(effect.host)
         if host is None:
             return
         outcome = "sent"
         try:
-            async with self._slot(host.name), asyncio.timeout(ORDER_TIME):
-                order = self._order(host, effect.run)
-                await self.term.parts.link.pace(order, effect.percent)
+            async with self._semaphore(host.name), asyncio.timeout(COMMAND_TIMEOUT):
+                command = self._make_command(host, effect.run)
+                await self.term.parts.link.pace(command, effect.percent)
         except (NotSentError, OutcomeUnknownError, TimeoutError) as exc:
             outcome = f"unknown: {exc}"
             effect.run.pace = -1
         log.info(
-            "orders: pace",
+            "orders: throttle command",
             extra={
                 "request": effect.run.key[0].job,
                 "host": host.name,
@@ -206,7 +213,7 @@
         )
 
     async def ask(self, effect: AskAdvice) -> None:
-        """Ask for advice and note the tickets for the step."""
+        """Request advice and store the tickets that it grants to the step."""
         loop = asyncio.get_running_loop()
         step = self.term.book.step_by_key(effect.step)
         if step is None:
@@ -217,7 +224,7 @@
             )
         except SiskinroadError:
             self.term.parts.metrics.retries.labels("advice").inc()
-            await asyncio.sleep(ADVICE_RETRY)
+            await asyncio.sleep(ADVICE_RETRY_INTERVAL)
         else:
             until = loop.time() + advised.valid
             step.asked.update(effect.hosts)
--- a/siskinroad/work/outside.py
+++ b/siskinroad/work/outside.py
@@ -1,4 +1,4 @@
-"""All that a daemon needs from the platform, as the product's own types."""
+"""The platform services that a daemon needs, behind this project's own types."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 class Decoder(ABC):
-    """Reads what the platform and the operators keep in the store.
+    """A decoder of records that the platform and the operators keep in the store.
 
     Attributes
     ----------
     hosts_topic, setup_topic : str
-        Where the live list and the configuration are.
+        Topics of the live host list and of the configuration.
     """
 
     hosts_topic: str
@@ -27,16 +27,16 @@
 
     @abstractmethod
     def host(self, key: str, value: bytes) -> HostEntry | None:
-        """Return an entry of the live list; None if it names no host to use."""
+        """Return a host of the live list; None if the record names no usable host."""
 
     @abstractmethod
     def setup(self, key: str, value: bytes) -> Setup | None:
-        """Return a configuration; None if the record is not one."""
+        """Return the configuration; None if the record holds none."""
 
 
 @dataclass(slots=True, frozen=True)
 class Outside:
-    """The platform's services."""
+    """The clients of the platform's services."""
 
     store: Store
     link: HostLink
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -1,4 +1,4 @@
-"""The owner of a pool: carries out what its book and planner decide."""
+"""The owner of a pool: executes the decisions of its pool state and planner."""
 
 from __future__ import annotations
 
@@ -35,84 +35,86 @@
 
 __all__ = ["Deposed", "PoolOwner"]
 
-TICK_TIME = 0.2
-# Seconds by which events are gathered before the next plan.
-PLAN_PAUSE = 0.004
-# Seconds by which an occurrence may begin before it is due.
-EARLY_TIME = 0.05
-# Seconds between two readings of the claims for a doubt.
-DOUBT_SPACING = 0.5
-# Seconds since the last read beyond which a job is not said to be unknown.
-FRESH_TIME = 2.5
+# Seconds between two checks of everything that depends on time.
+TICK_INTERVAL = 0.2
+# Seconds for which events are collected before the next planning round.
+PLAN_DELAY = 0.004
+# Seconds before its due time at which an occurrence may already start.
+EARLY_START_TIME = 0.05
+# Least seconds between two rereads of the claims while ownership is uncertain.
+CLAIM_RECHECK_INTERVAL = 0.5
+# Seconds since the last confirmed read after which the owner no longer states that
+# a job does not exist.
+MAX_RECORD_AGE = 2.5
 
 log = logging.getLogger("siskinroad.owner")
 
 
 class PoolOwner:
-    """One term of one pool.
+    """The owner of one pool for one term.
 
     Parameters
     ----------
-    found : Inheritance
-        What the claim has found in the store.
+    inherited : Inheritance
+        The state that the claim found in the store.
     """
 
     def __init__(
-        self, pool: str, parts: OwnerParts, found: Inheritance, setup: Setup
+        self, pool: str, parts: OwnerParts, inherited: Inheritance, setup: Setup
     ) -> None:
         self.pool = pool
         self.parts = parts
-        self.term = Term(pool, found.term, parts)
+        self.term = Term(pool, inherited.term, parts)
         self.term.carry_out = self._carry_out
         self.term.doubted = self.doubt
         self.book = self.term.book
         self.book.configure(setup)
         self.planner = Planner(self.book)
         self.steward = Steward(self.book, parts.timing)
-        self.progress = ProgressLog(self.term, found.hosts)
+        self.progress = ProgressLog(self.term, inherited.hosts)
         self.orders = Orders(self.term)
         self.holds = Holds(self.term, self.progress)
-        self._doubted_at = -1e9
-        self.former = found.former
-        self._former_alone = found.former_alone
-        self._former_released = found.released_term >= found.former_term
-        self._load(found)
-        self.follower = Follower(parts.store, job_topic(pool), self._take_records)
-        self.follower.next = found.next
-        # The claim has read all that came before it.
+        self._rechecked_at = -1e9
+        self.former = inherited.former
+        self._former_alone = inherited.former_alone
+        self._former_released = inherited.released_term >= inherited.former_term
+        self._load_inherited(inherited)
+        self.follower = Follower(parts.store, job_topic(pool), self._apply_records)
+        self.follower.next = inherited.next
+        # The claim has read every record before its own.
         self.follower.confirmed_at = asyncio.get_running_loop().time()
 
-    def _load(self, found: Inheritance) -> None:
+    def _load_inherited(self, inherited: Inheritance) -> None:
         loop = asyncio.get_running_loop()
         now, wall = loop.time(), self.parts.wall()
         book = self.book
-        if found.former is None:
+        if inherited.former is None:
             book.settled = True
         else:
             book.settled = False
-            names = found.hosts.names if found.hosts else ()
+            names = inherited.hosts.names if inherited.hosts else ()
             book.expect_hosts(names, now + RIGHT_TIME + LEASE_TIME * 1.1)
-            self._check_former(now)
-        for accepted in found.accepted.values():
+            self._check_former_owner(now)
+        for accepted in inherited.accepted.values():
             book.accept(accepted, now, wall, fresh=False)
-        for progress in found.progress.values():
+        for progress in inherited.progress.values():
             book.restore(progress, now)
-        for job_id in found.cancelled:
+        for job_id in inherited.cancelled:
             book.cancel(job_id, now, wall)
-        self.term.right_until = found.claimed_at + RIGHT_TIME
+        self.term.right_until = inherited.claimed_at + RIGHT_TIME
         log.info(
-            "owner: begins its term",
+            "owner: term started",
             extra={
                 "pool": self.pool,
                 "term": self.term.number,
-                "former": found.former.node if found.former else None,
-                "jobs": len(found.accepted),
-                "hosts": len(found.hosts.names) if found.hosts else 0,
+                "former": inherited.former.node if inherited.former else None,
+                "jobs": len(inherited.accepted),
+                "hosts": len(inherited.hosts.names) if inherited.hosts else 0,
             },
         )
 
-    def _check_former(self, now: float) -> None:
-        """Shorten the wait for silent hosts once the former owner is dead."""
+    def _check_former_owner(self, now: float) -> None:
+        """Shorten the wait for silent hosts once the former owner has stopped."""
         former = self.former
         if former is None or not self._former_alone:
             return
@@ -121,7 +123,7 @@
             self.book.former_gone(now + LEASE_TIME * 1.1)
             self.former = None
 
-    # Life
+    # Lifecycle
 
     async def run(self) -> None:
         """Own the pool until cancelled.
@@ -135,7 +137,7 @@
             async with asyncio.TaskGroup() as group:
                 self.term.group = group
                 group.create_task(self.follower.run())
-                group.create_task(self._run_plans())
+                group.create_task(self._run_planning())
                 group.create_task(self.progress.run())
                 group.create_task(self._run_ticks())
         except* Deposed as excs:
@@ -144,7 +146,7 @@
             self.term.group = None
 
     async def release(self) -> None:
-        """Record what is known and give the pool up; to be called after ``run``."""
+        """Store unrecorded progress and release the pool; call this after ``run``."""
         extra = {"pool": self.pool, "term": self.term.number}
         try:
             while self.progress.due:
@@ -152,41 +154,43 @@
         except SiskinroadError as exc:
             # The next owner may have fenced this term already.
             log.warning(
-                "owner: last progress is not on record",
+                "owner: last progress not stored; releasing the pool without it",
                 extra={**extra, "error": str(exc)},
             )
         try:
             await release_pool(self.parts.store, self.pool, self.term.number)
         except SiskinroadError as exc:
             log.warning(
-                "owner: release is not on record", extra={**extra, "error": str(exc)}
+                "owner: release of the pool not stored",
+                extra={**extra, "error": str(exc)},
             )
 
-    def lose_right(self) -> None:
-        """Stop acting until the claim is confirmed again, as after a pause."""
+    def revoke_right(self) -> None:
+        """Stop acting until the claim is confirmed again, as after a suspension."""
         self.term.right_until = -1e9
         self.follower.confirmed_at = -1e9
 
     def doubt(self) -> None:
-        """Read the claims at once, and act no more until that is done.
+        """Reread the claims now, and stop acting until they are confirmed.
 
-        A host follows a higher token, or another daemon tells of a higher term.
+        Called when a host has accepted a higher token, or when another daemon
+        reports a higher term.
         """
-        self.lose_right()
+        self.revoke_right()
         now = asyncio.get_running_loop().time()
-        if now - self._doubted_at >= DOUBT_SPACING:
-            self._doubted_at = now
+        if now - self._rechecked_at >= CLAIM_RECHECK_INTERVAL:
+            self._rechecked_at = now
             self.follower.nudge()
 
-    # What the daemon tells
+    # Updates from the daemon
 
     def configure(self, setup: Setup) -> None:
-        """Put a configuration in force."""
+        """Apply a configuration."""
         self.book.configure(setup)
         self.term.plan_wanted.set()
 
     def hosts_listed(self, entries: dict[str, HostEntry]) -> None:
-        """Take in the live list."""
+        """Apply the live host list."""
         now = asyncio.get_running_loop().time()
         for entry in entries.values():
             if entry.pool == self.pool:
@@ -200,28 +204,31 @@
 
     # Accepted jobs
 
-    def _take_records(self, items: tuple[Newest, ...], whole: bool) -> None:
+    def _apply_records(self, items: tuple[Newest, ...], is_snapshot: bool) -> None:
         self._check_claims(items)
         now = asyncio.get_running_loop().time()
         wall = self.parts.wall()
         for item in items:
             if item.value:
-                self._take_record(item, now, wall)
+                self._apply_record(item, now, wall)
         self.term.plan_wanted.set()
 
     def _check_claims(self, items: tuple[Newest, ...]) -> None:
-        """Stop before any job is taken in that a later claim stands in front of."""
+        """Raise before any job is accepted that was stored after a later claim."""
         for item in items:
             if item.key == OWNER_KEY and item.offset + 1 > self.term.number:
                 self.term.right_until = -1e9
-                raise Deposed(f"term {item.offset + 1}", step="owner")
+                raise Deposed(
+                    f"pool claimed by another daemon in term {item.offset + 1}",
+                    step="owner",
+                )
 
-    def _take_record(self, item: Newest, now: float, wall: float) -> None:
+    def _apply_record(self, item: Newest, now: float, wall: float) -> None:
         try:
             stored = unpack(item.value)
         except SiskinroadError as exc:
             log.error(
-                "owner: record is not readable",
+                "owner: job record cannot be decoded; ignoring it",
                 extra={"pool": self.pool, "key": item.key, "error": str(exc)},
             )
             return
@@ -233,7 +240,7 @@
                 )
                 if not known:
                     log.info(
-                        "owner: job taken in",
+                        "owner: job accepted",
                         extra={
                             "request": job,
                             "queue": stored.queue,
@@ -245,13 +252,13 @@
                 self._carry_out(self.book.cancel(job, now, wall))
                 self.term.flush_wanted.set()
 
-    # Plans
+    # Planning
 
-    async def _run_plans(self) -> None:
+    async def _run_planning(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             await self.term.plan_wanted.wait()
-            await asyncio.sleep(PLAN_PAUSE)
+            await asyncio.sleep(PLAN_DELAY)
             self.term.plan_wanted.clear()
             if not self.term.may_act():
                 continue
@@ -262,14 +269,14 @@
     async def _run_ticks(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(TICK_TIME)
+            await asyncio.sleep(TICK_INTERVAL)
             now, wall = loop.time(), self.parts.wall()
             confirmed = self.follower.confirmed_at + RIGHT_TIME
             self.term.right_until = max(self.term.right_until, confirmed)
-            self._check_former(now)
+            self._check_former_owner(now)
             effects = self.book.lapse_silent(now)
             self.book.settle_tasks(now)
-            self.book.open_due(now, wall, EARLY_TIME)
+            self.book.open_due(now, wall, EARLY_START_TIME)
             effects += self.steward.look(now, wall)
             self._carry_out(effects)
             if self.progress.due:
@@ -292,7 +299,7 @@
         if self.book.dirty:
             self.term.flush_wanted.set()
 
-    # What callers ask
+    # Requests from callers
 
     def show(self, job_id: str) -> str | None:
         """Return a job's state; None if there is no such job.
@@ -300,45 +307,49 @@
         Raises
         ------
         SiskinroadError
-            The owner does not know: it has not read the newest records.
+            The owner cannot tell, as it has not read the newest records.
         """
         job = self.book.jobs.get(job_id)
         if job is not None:
             return job.shown()
-        self._check_fresh()
+        self._require_fresh_records()
         return None
 
-    def _check_fresh(self) -> None:
+    def _require_fresh_records(self) -> None:
         age = asyncio.get_running_loop().time() - self.follower.confirmed_at
-        if age > FRESH_TIME:
-            raise SiskinroadError(f"records are {age:.1f} s old", step="owner.show")
+        if age > MAX_RECORD_AGE:
+            raise SiskinroadError(
+                f"last confirmed read was {age:.1f} s ago", step="owner.show"
+            )
 
     async def cancel(self, job_id: str, timeout: float) -> bool:
-        """Cancel a job; return False if there is none.
+        """Cancel a job; return False if there is no such job.
 
         Raises
         ------
         StoreUnknownError
-            The cancelling is carried out but not on record yet.
+            The job is cancelled, but that is not stored yet.
         """
         job = self.book.jobs.get(job_id)
         if job is None:
-            self._check_fresh()
+            self._require_fresh_records()
             return False
         if job.recorded:
             return True
         now, wall = asyncio.get_running_loop().time(), self.parts.wall()
-        waiter = self.progress.when_recorded(job_id)
+        waiter = self.progress.get_recorded_event(job_id)
         self._carry_out(self.book.cancel(job_id, now, wall))
         self.term.flush_wanted.set()
         try:
             async with asyncio.timeout(timeout):
                 await waiter.wait()
         except TimeoutError:
-            raise StoreUnknownError("not on record", step="owner.cancel") from None
+            raise StoreUnknownError(
+                "cancellation not stored in time", step="owner.cancel"
+            ) from None
         return True
 
     def pending(self, queue: str) -> int:
-        """Return the accepted jobs of a queue of which nothing has begun."""
-        self._check_fresh()
+        """Return the number of accepted jobs of a queue that have not started."""
+        self._require_fresh_records()
         return self.book.pending(queue)
--- a/siskinroad/work/progress.py
+++ b/siskinroad/work/progress.py
@@ -1,4 +1,4 @@
-"""Records what an owner has learned, and then acknowledges the hosts' ends."""
+"""Storage of an owner's progress, after which the hosts' ends are acknowledged."""
 
 from __future__ import annotations
 
@@ -21,37 +21,39 @@
 
 __all__ = ["Deposed", "ProgressLog"]
 
-# Seconds between two records of progress, so that one append carries many ends.
-FLUSH_SPACING = 0.08
-FLUSH_RETRY = 0.25
-FLUSH_TIME = 2.0
-# Records of one append: the store bounds the bytes of a call.
-MAX_RECORDS = 400
+# Seconds between two appends of progress, so that one append carries many ends.
+FLUSH_INTERVAL = 0.08
+# Seconds before a failed append is repeated.
+FLUSH_RETRY_INTERVAL = 0.25
+# Seconds to wait for the store to answer an append.
+FLUSH_TIMEOUT = 2.0
+# Records in one append: the store limits the bytes of a call.
+MAX_RECORDS_PER_APPEND = 400
 
 log = logging.getLogger("siskinroad.progress")
 
 
 class Deposed(SiskinroadError):
-    """Another daemon has claimed the pool."""
+    """Ownership was lost: another daemon has claimed the pool."""
 
 
 @dataclass(slots=True, frozen=True)
 class _Batch:
-    """One append of progress, and what it lets the owner show and acknowledge."""
+    """One append of progress, and what storing it allows to show and acknowledge."""
 
     records: tuple[Record, ...]
     outcomes: tuple[tuple[Job, str], ...]
     hosts: HostSet
-    marks: tuple[tuple[str, int, int], ...]
+    ends_seen: tuple[tuple[str, int, int], ...]
 
 
 class ProgressLog:
-    """The owner's own topic: only its term can write there.
+    """The writer of a pool's progress topic, fenced by the owner's term.
 
     Attributes
     ----------
     flushed : asyncio.Event
-        Set, and replaced, each time a batch is in the store.
+        Set, and replaced by a new event, each time a batch has been stored.
     """
 
     def __init__(self, term: Term, hosts: HostSet | None) -> None:
@@ -64,17 +66,17 @@
 
     @property
     def due(self) -> bool:
-        """Whether something is not in the store yet."""
+        """Whether anything has not been stored yet."""
         pending = self._batch is not None or bool(self.term.book.dirty)
         return pending or self._host_set() != self._recorded_hosts
 
-    def when_recorded(self, job_id: str) -> asyncio.Event:
-        """Return an event that is set once the job's outcome is in the store."""
+    def get_recorded_event(self, job_id: str) -> asyncio.Event:
+        """Return an event that is set once the job's outcome is stored."""
         self.term.flush_wanted.set()
         return self._waiters.setdefault(job_id, asyncio.Event())
 
     async def run(self) -> None:
-        """Record whatever changes, in batches, until cancelled.
+        """Store every change, in batches, until cancelled.
 
         Raises
         ------
@@ -88,15 +90,17 @@
                 await self.flush()
             except (StoreUnavailableError, StoreUnknownError) as exc:
                 log.warning(
-                    "progress: progress is not recorded yet",
+                    "progress: append failed; retrying",
                     extra={"pool": self.term.pool, "error": str(exc)},
                 )
                 self.term.flush_wanted.set()
-                await asyncio.sleep(FLUSH_RETRY)
+                await asyncio.sleep(FLUSH_RETRY_INTERVAL)
                 continue
             except FencedError as exc:
-                raise Deposed("progress is fenced", step="progress.flush") from exc
-            await asyncio.sleep(FLUSH_SPACING)
+                raise Deposed(
+                    "progress append was fenced by a later term", step="progress.flush"
+                ) from exc
+            await asyncio.sleep(FLUSH_INTERVAL)
 
     def _host_set(self) -> HostSet:
         known = set(self.term.book.hosts)
@@ -105,10 +109,10 @@
         return HostSet(tuple(sorted(known)), self.term.number, self.term.book.settled)
 
     async def flush(self) -> None:
-        """Record every job that has changed, then acknowledge the hosts' ends.
+        """Store every job that has changed, then acknowledge the hosts' ends.
 
-        A batch whose append had no answer is repeated as it was, under the same
-        number, so that it takes effect once and nothing newer is lost with it.
+        A batch whose append got no answer is repeated unchanged with the same
+        sequence number, so that it takes effect once and no later change is lost.
         """
         if self._batch is None:
             self._batch = self._make_batch()
@@ -119,16 +123,16 @@
                 progress_topic(self.term.pool),
                 list(batch.records),
                 fence=fence,
-                timeout=FLUSH_TIME,
+                timeout=FLUSH_TIMEOUT,
             )
             self._sequence += 1
         self._batch = None
-        self._recorded(batch)
+        self._mark_recorded(batch)
         if self.term.book.dirty:
             self.term.flush_wanted.set()
 
     def _make_batch(self) -> _Batch:
-        changed = list(self.term.book.dirty)[:MAX_RECORDS]
+        changed = list(self.term.book.dirty)[:MAX_RECORDS_PER_APPEND]
         self.term.book.dirty.difference_update(changed)
         jobs = [
             self.term.book.jobs[job] for job in changed if job in self.term.book.jobs
@@ -137,14 +141,14 @@
         hosts = self._host_set()
         if hosts != self._recorded_hosts:
             records.append(record_of(hosts))
-        marks: tuple[tuple[str, int, int], ...] = ()
+        ends_seen: tuple[tuple[str, int, int], ...] = ()
         if not self.term.book.dirty:
             known = self.term.book.hosts.values()
-            marks = tuple((host.name, host.born, host.seen) for host in known)
+            ends_seen = tuple((host.name, host.born, host.seen) for host in known)
         outcomes = tuple((job, job.outcome) for job in jobs)
-        return _Batch(tuple(records), outcomes, hosts, marks)
+        return _Batch(tuple(records), outcomes, hosts, ends_seen)
 
-    def _recorded(self, batch: _Batch) -> None:
+    def _mark_recorded(self, batch: _Batch) -> None:
         self._recorded_hosts = batch.hosts
         for name in batch.hosts.names:
             if name in self.term.book.hosts:
@@ -154,7 +158,7 @@
             waiter = self._waiters.pop(job.id, None)
             if waiter is not None:
                 waiter.set()
-        for name, born, seen in batch.marks:
+        for name, born, seen in batch.ends_seen:
             host = self.term.book.hosts.get(name)
             if host is not None and host.born == born:
                 host.acknowledged = max(host.acknowledged, seen)
