--- a/siskinroad/work/batcher.py
+++ b/siskinroad/work/batcher.py
@@ -1,9 +1,9 @@
-"""Appends to one topic, gathered while the one before is on its way.
+"""Batching of appends to one topic: records that arrive during an append form the next.
 
-A partition of the store takes one append after another. Loads that this answers:
-many submissions while each append is slow, which one by one would wait behind each
-other until all of them are too late; a store that stops answering, where only the
-batch on its way has an unknown outcome and all behind it is refused, truly and soon.
+A partition of the store processes one append at a time. If appends are slow and every
+record is appended alone, many submissions queue up until all of them miss their
+deadlines. If the store stops answering, only the batch in flight has an unknown outcome: everything queued
+behind it is known not to be stored and is refused soon.
 """
 
 from __future__ import annotations
@@ -23,36 +23,39 @@
 
 __all__ = ["Batcher"]
 
-# Bounds in seconds of how long one append is waited for before it is repeated:
-# an answer that is lost never comes, but a slow partition works on every repeat.
-LEAST_PATIENCE = 1.0
-MOST_PATIENCE = 2.0
-# Times the smoothed answer time that is waited, and the weight of a new one.
-PATIENCE_FACTOR = 4.0
-ANSWER_WEIGHT = 0.2
-# Seconds between two tries: a store that rejects at once is not flooded.
-REPEAT_PAUSE = 0.05
-# Seconds after which what waits behind a batch is refused: at once if the store
-# answers nothing at all, later if it answers other calls.
-SILENT_TIME = 1.0
-STUCK_TIME = 2.0
-# Seconds before its deadline at which a record is given up.
-DEADLINE_SLACK = 0.05
-MAX_RECORDS = 200
+# Bounds in seconds of the time limit of one append before it is repeated. A long
+# limit delays recovery from a lost answer; a short one loads a slow partition with
+# repeats, each of which it processes.
+MIN_APPEND_TIMEOUT = 1.0
+MAX_APPEND_TIMEOUT = 2.0
+# The time limit as a multiple of the smoothed latency, and the weight of a new
+# measurement in that latency.
+APPEND_TIMEOUT_FACTOR = 4.0
+LATENCY_WEIGHT = 0.2
+# Seconds between two attempts, so that a store that rejects at once is not flooded.
+RETRY_PAUSE = 0.05
+# Seconds after which records queued behind an unanswered append are refused: the
+# first if the store answers no call at all, the second if it answers other calls.
+SILENCE_LIMIT = 1.0
+STUCK_APPEND_LIMIT = 2.0
+# Seconds before its deadline at which a record is no longer retried.
+DEADLINE_MARGIN = 0.05
+# Records in one append.
+MAX_RECORDS_PER_APPEND = 200
 
 log = logging.getLogger("siskinroad.batcher")
 
 
 @dataclass(slots=True, eq=False)
-class _Waiting:
+class _PendingAppend:
     record: Record
     deadline: float
     fut: asyncio.Future[None]
-    unsure: bool = False
+    may_be_stored: bool = False
 
 
 class Batcher:
-    """Appends records whose repetition is harmless: each has a key of its own.
+    """A batch appender for records that may be repeated, as each has a key of its own.
 
     Parameters
     ----------
@@ -69,9 +72,9 @@
         self._store = store
         self._topic = topic
         self._answered_at = answered_at
-        self._waiting: list[_Waiting] = []
+        self._pending: list[_PendingAppend] = []
         self._task: asyncio.Task[None] | None = None
-        self._answer_time = 0.0
+        self._latency = 0.0
         self._silent_since: float | None = None
 
     async def put(self, record: Record, deadline: float) -> None:
@@ -80,115 +83,133 @@
         Parameters
         ----------
         deadline : float
-            Loop time until which an append without an answer is repeated.
+            Loop time until which an unanswered append is repeated.
 
         Raises
         ------
         StoreUnavailableError
             The record is not in the store.
         StoreUnknownError
-            The record may be in the store, or may yet be.
+            The record may be in the store, or may still reach it.
         """
         if self._is_silent():
-            raise StoreUnavailableError("no answer of late", step="batcher")
+            raise StoreUnavailableError(
+                "store has not answered since an append got stuck", step="batcher"
+            )
         loop = asyncio.get_running_loop()
         fut: asyncio.Future[None] = loop.create_future()
-        self._waiting.append(_Waiting(record, deadline, fut))
+        self._pending.append(_PendingAppend(record, deadline, fut))
         if self._task is None or self._task.done():
             self._task = loop.create_task(self._run())
         await fut
 
     def close(self) -> None:
-        """Give up; what is on its way may yet take effect."""
+        """Stop appending; the batch in flight may still take effect."""
         if self._task is not None:
             self._task.cancel()
-        self._fail(self._waiting, StoreUnknownError("closed", step="batcher"))
-        self._waiting = []
+        self._fail_all(self._pending, StoreUnknownError("closed", step="batcher"))
+        self._pending = []
 
     def _is_silent(self) -> bool:
-        """Return whether the store has answered nothing since an append stuck."""
+        """Return whether the store has answered nothing since an append got stuck."""
         since = self._silent_since
         return since is not None and self._answered_at() <= since
 
     async def _run(self) -> None:
-        while self._waiting:
-            batch = self._waiting[:MAX_RECORDS]
-            self._waiting = self._waiting[MAX_RECORDS:]
+        while self._pending:
+            batch = self._pending[:MAX_RECORDS_PER_APPEND]
+            self._pending = self._pending[MAX_RECORDS_PER_APPEND:]
             try:
                 await self._store_batch(batch)
             except asyncio.CancelledError:
-                self._fail(batch, StoreUnknownError("closed", step="batcher"))
+                self._fail_all(batch, StoreUnknownError("closed", step="batcher"))
                 raise
 
-    async def _store_batch(self, batch: list[_Waiting]) -> None:
-        """Append a batch, repeated until its outcome is known or it is too late."""
+    async def _store_batch(self, batch: list[_PendingAppend]) -> None:
+        """Append a batch, repeated until its outcome is known or time runs out."""
         loop = asyncio.get_running_loop()
         timers = [
-            loop.call_later(SILENT_TIME, self._refuse_if_silent, loop.time()),
-            loop.call_later(STUCK_TIME, self._refuse_waiting, "append is stuck"),
+            loop.call_later(SILENCE_LIMIT, self._refuse_if_silent, loop.time()),
+            loop.call_later(
+                STUCK_APPEND_LIMIT,
+                self._refuse_unsent,
+                "append stuck: no answer in time",
+            ),
         ]
-        tries = 0
+        attempts = 0
         try:
             while batch:
-                batch = await self._append(batch, tries)
-                tries += 1
+                batch = await self._append(batch, attempts)
+                attempts += 1
                 if batch:
-                    await asyncio.sleep(REPEAT_PAUSE)
+                    await asyncio.sleep(RETRY_PAUSE)
         finally:
             for timer in timers:
                 timer.cancel()
 
-    async def _append(self, batch: list[_Waiting], tries: int) -> list[_Waiting]:
-        """Append a batch once; return what is to be appended again."""
+    async def _append(
+        self, batch: list[_PendingAppend], attempts: int
+    ) -> list[_PendingAppend]:
+        """Append a batch once; return the records that are to be retried."""
         loop = asyncio.get_running_loop()
         sent_at = loop.time()
-        left = max(waiting.deadline for waiting in batch) - sent_at
-        records = [waiting.record for waiting in batch]
-        timeout = max(DEADLINE_SLACK, min(self._patience(tries), left))
+        left = max(pending.deadline for pending in batch) - sent_at
+        records = [pending.record for pending in batch]
+        timeout = max(DEADLINE_MARGIN, min(self._append_timeout(attempts), left))
         try:
             await self._store.append(self._topic, records, timeout=timeout)
         except StoreUnavailableError as exc:
-            sure = [waiting for waiting in batch if not waiting.unsure]
-            self._fail(sure, exc)
-            return self._in_time([w for w in batch if w.unsure], exc)
+            not_stored = [pending for pending in batch if not pending.may_be_stored]
+            self._fail_all(not_stored, exc)
+            return self._keep_in_time(
+                [pending for pending in batch if pending.may_be_stored], exc
+            )
         except StoreUnknownError as exc:
-            for waiting in batch:
-                waiting.unsure = True
-            return self._in_time(batch, exc)
-        self._answer_time += ANSWER_WEIGHT * (loop.time() - sent_at - self._answer_time)
+            for pending in batch:
+                pending.may_be_stored = True
+            return self._keep_in_time(batch, exc)
+        self._latency += LATENCY_WEIGHT * (loop.time() - sent_at - self._latency)
         self._silent_since = None
-        for waiting in batch:
-            if not waiting.fut.done():
-                waiting.fut.set_result(None)
+        for pending in batch:
+            if not pending.fut.done():
+                pending.fut.set_result(None)
         return []
 
-    def _patience(self, tries: int) -> float:
-        wanted = max(LEAST_PATIENCE, PATIENCE_FACTOR * self._answer_time)
-        return min(MOST_PATIENCE, wanted * 2**tries)
+    def _append_timeout(self, attempts: int) -> float:
+        wanted = max(MIN_APPEND_TIMEOUT, APPEND_TIMEOUT_FACTOR * self._latency)
+        return min(MAX_APPEND_TIMEOUT, wanted * 2**attempts)
 
     def _refuse_if_silent(self, since: float) -> None:
         if self._answered_at() <= since:
             self._silent_since = since
-            self._refuse_waiting("store does not answer")
+            self._refuse_unsent("store answers no call")
 
-    def _refuse_waiting(self, why: str) -> None:
-        """Refuse what was never sent."""
+    def _refuse_unsent(self, why: str) -> None:
+        """Refuse the records that have not been sent."""
         log.warning(
-            "batcher: an append has no answer",
-            extra={"topic": self._topic, "refused": len(self._waiting), "why": why},
+            "batcher: append not answered; refusing the records queued behind it",
+            extra={"topic": self._topic, "refused": len(self._pending), "why": why},
         )
-        self._fail(self._waiting, StoreUnavailableError(why, step="batcher"))
-        self._waiting = []
+        self._fail_all(self._pending, StoreUnavailableError(why, step="batcher"))
+        self._pending = []
 
-    def _in_time(self, batch: list[_Waiting], exc: SiskinroadError) -> list[_Waiting]:
-        """Return what still has time; the outcome of the rest is unknown."""
+    def _keep_in_time(
+        self, batch: list[_PendingAppend], exc: SiskinroadError
+    ) -> list[_PendingAppend]:
+        """Return the records that may be retried; the others' outcome is unknown."""
         now = asyncio.get_running_loop().time()
-        over = [w for w in batch if w.deadline - now < DEADLINE_SLACK]
-        self._fail(over, StoreUnknownError(str(exc), step="batcher"))
-        return [w for w in batch if w not in over and not w.fut.done()]
+        expired = [
+            pending for pending in batch if pending.deadline - now < DEADLINE_MARGIN
+        ]
+        self._fail_all(expired, StoreUnknownError(str(exc), step="batcher"))
+        return [
+            pending
+            for pending in batch
+            if pending not in expired and not pending.fut.done()
+        ]
 
     @staticmethod
-    def _fail(batch: list[_Waiting], exc: SiskinroadError) -> None:
-        for waiting in batch:
-            if not waiting.fut.done():
-                waiting.fut.set_exception(exc)
+    def _fail_all(batch: list[_PendingAppend], exc: SiskinroadError) -> None:
+        for pending in batch:
+            if not pending.fut.done():
+                pending.fut.set_exception(exc)
--- a/siskinroad/work/desk.py
+++ b/siskinroad/work/desk.py
@@ -1,7 +1,7 @@
-"""What callers ask of any daemon: hand a job in, see it, cancel it, count.
+"""The job service of a daemon: submits, shows, cancels and counts jobs for callers.
 
-A job is accepted once the store has it; its owner need not be reached for that.
-All else is asked of the pool's owner.
+A job is accepted once it is stored, which does not require its owner to be reachable.
+All other requests go to the pool's owner.
 """
 
 from __future__ import annotations
@@ -24,25 +24,28 @@
 
 __all__ = ["Desk", "Reply", "ReplyKind"]
 
-# Seconds since the store's last answer after which new work is refused at once:
-# a silent store is asked every quarter of a second, and slow answers come later.
-STORE_DOWN_AGE = 2.0
-ASK_TIME = 0.7
-ASK_TRIES = 2
-ASK_PAUSE = 0.15
-# Seconds of a caller's deadline that are left for the answer's way back.
-DEADLINE_SLACK = 0.15
-# Seconds after which a caller should come back: a take-over needs about so long.
-RETRY_AFTER = 1.0
-# Part of an outage's age, and most seconds, to send callers away for.
-RETRY_PART = 0.5
-LONGEST_RETRY = 4.0
+# Seconds since the store's last answer after which new work is refused at once. A
+# silent store is probed every quarter of a second, so recovery is noticed soon; a
+# smaller limit would also refuse work while the store is merely slow.
+STORE_SILENCE_LIMIT = 2.0
+# Seconds for one request to a pool's owner, the number of attempts, and the seconds
+# between them.
+OWNER_REQUEST_TIMEOUT = 0.7
+OWNER_REQUEST_ATTEMPTS = 2
+OWNER_RETRY_PAUSE = 0.15
+# Seconds of a caller's deadline that are reserved for returning the reply.
+DEADLINE_MARGIN = 0.15
+# Least seconds after which a caller should retry: about the time of a takeover.
+MIN_RETRY_AFTER = 1.0
+# The retry time as a fraction of the outage's age so far, and its maximum in seconds.
+RETRY_AFTER_FACTOR = 0.5
+MAX_RETRY_AFTER = 4.0
 
 log = logging.getLogger("siskinroad.desk")
 
 
 class ReplyKind(StrEnum):
-    """What a caller is told."""
+    """The kinds of reply to a caller."""
 
     OK = "ok"
     NO_QUEUE = "no_queue"
@@ -54,18 +57,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Reply:
-    """The answer to one caller.
+    """The reply to one request of a caller.
 
     Attributes
     ----------
     state : str
-        The job's state, where it was asked for.
+        The job's state, if it was requested.
     pending : int
-        Jobs of the queue of which nothing has begun.
+        Number of jobs of the queue that have not started.
     reason : str
         Why the request was refused.
     retry_after : float
-        Seconds after which the caller should come back; 0 if it should not.
+        Seconds after which the caller should retry; 0 if it should not.
     """
 
     kind: ReplyKind
@@ -75,14 +78,17 @@
     retry_after: float = 0.0
 
 
-def _not_now(reason: str, outage: float = 0.0) -> Reply:
-    """Refuse for now; what has lasted a while is likely to last as long again."""
-    wait = min(LONGEST_RETRY, max(RETRY_AFTER, outage * RETRY_PART))
+def _refuse_for_now(reason: str, outage: float = 0.0) -> Reply:
+    """Refuse with a retry time that grows with the age of the outage.
+
+    An outage that has lasted for a while is likely to last for as long again.
+    """
+    wait = min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, outage * RETRY_AFTER_FACTOR))
     return Reply(ReplyKind.NOT_NOW, reason=reason, retry_after=wait)
 
 
 class Desk:
-    """Answers callers.
+    """The job service that handles the requests of callers.
 
     Parameters
     ----------
@@ -92,10 +98,10 @@
         The pools that this daemon owns.
     find_owner : callable
         Returns the daemon that owns a pool, or None.
-    largest : callable
-        Returns the capacities of the pool's hosts that are listed.
+    list_capacities : callable
+        Returns the capacities of a pool's listed hosts.
     store_heard_at : callable
-        Returns the loop time of the store's last answer by any way.
+        Returns the loop time of the store's last answer, direct or relayed.
     """
 
     def __init__(
@@ -105,7 +111,7 @@
         calls: Calls,
         owners: dict[str, PoolOwner],
         find_owner: Callable[[str], str | None],
-        largest: Callable[[str], list[Resources]],
+        list_capacities: Callable[[str], list[Resources]],
         metrics: WorkMetrics,
         wall: Callable[[], float],
         store_heard_at: Callable[[], float],
@@ -117,7 +123,7 @@
         self._calls = calls
         self._owners = owners
         self._find_owner = find_owner
-        self._largest = largest
+        self._list_capacities = list_capacities
         self._metrics = metrics
         self._wall = wall
         self._store_heard_at = store_heard_at
@@ -126,30 +132,30 @@
         return asyncio.get_running_loop().time() - self._store_heard_at()
 
     def find(self, virtual_host: str, path: str) -> Queue | Reply:
-        """Return the queue of a request, or the refusal where there is none."""
+        """Return the queue that serves a request, or the refusal if there is none."""
         if self.setup is None:
-            return _not_now("no_configuration")
+            return _refuse_for_now("no_configuration")
         queue = self.setup.find(virtual_host, path)
         return queue or Reply(ReplyKind.NO_QUEUE, reason="no_queue")
 
     async def submit(
         self, queue: Queue, job: str, spec: JobSpec, deadline: float
     ) -> Reply:
-        """Store a job; it is accepted once the store has it."""
-        never = self._why_never(queue, spec)
+        """Store a job; it is accepted once it is stored."""
+        never = self._describe_unfit_step(queue, spec)
         if never:
-            return self._told(job, "submit", Reply(ReplyKind.NEVER, reason=never))
-        if self._store_age() > STORE_DOWN_AGE:
-            reply = _not_now("store_silent", self._store_age())
-            return self._told(job, "submit", reply, queue)
+            return self._log_reply(job, "submit", Reply(ReplyKind.NEVER, reason=never))
+        if self._store_age() > STORE_SILENCE_LIMIT:
+            reply = _refuse_for_now("store_silent", self._store_age())
+            return self._log_reply(job, "submit", reply, queue)
         accepted = Accepted(job, queue.name, queue.pool, self._wall(), spec)
-        until = deadline - DEADLINE_SLACK
+        until = deadline - DEADLINE_MARGIN
         outcome = await self._intake.store(queue.pool, record_of(accepted), until)
-        reply = self._stored(outcome)
-        return self._told(job, "submit", reply, queue)
+        reply = self._make_submit_reply(outcome)
+        return self._log_reply(job, "submit", reply, queue)
 
-    def _why_never(self, queue: Queue, spec: JobSpec) -> str:
-        sizes = self._largest(queue.pool)
+    def _describe_unfit_step(self, queue: Queue, spec: JobSpec) -> str:
+        sizes = self._list_capacities(queue.pool)
         if not sizes:
             return ""
         for i, step in enumerate(spec.steps):
@@ -157,53 +163,57 @@
                 return f"no host can hold a task of step {i}"
         return ""
 
-    def _stored(self, outcome: SubmitOutcome) -> Reply:
+    def _make_submit_reply(self, outcome: SubmitOutcome) -> Reply:
         match outcome:
             case SubmitOutcome.STORED:
                 return Reply(ReplyKind.OK)
             case SubmitOutcome.NOT_DONE:
-                return _not_now("store_unavailable", self._store_age())
+                return _refuse_for_now("store_unavailable", self._store_age())
             case SubmitOutcome.UNKNOWN:
                 return Reply(ReplyKind.UNKNOWN, reason="store_did_not_answer")
 
     async def show(self, queue: Queue, job: str, deadline: float) -> Reply:
         """Return a job's state."""
-        reply = await self._ask(queue.pool, "show", job, deadline)
-        return self._told(job, "show", reply, queue)
+        reply = await self._request_owner(queue.pool, "show", job, deadline)
+        return self._log_reply(job, "show", reply, queue)
 
     async def cancel(self, queue: Queue, job: str, deadline: float) -> Reply:
-        """Cancel a job, by way of the store if its owner is not reached."""
-        reply = await self._ask(queue.pool, "cancel", job, deadline)
+        """Cancel a job, through the store if its owner cannot be reached."""
+        reply = await self._request_owner(queue.pool, "cancel", job, deadline)
         if reply.kind is ReplyKind.NOT_NOW:
             record = record_of(Cancelled(job, self._wall()))
-            until = deadline - DEADLINE_SLACK
+            until = deadline - DEADLINE_MARGIN
             outcome = await self._intake.store(queue.pool, record, until)
-            reply = self._stored(outcome)
-        return self._told(job, "cancel", reply, queue)
+            reply = self._make_submit_reply(outcome)
+        return self._log_reply(job, "cancel", reply, queue)
 
     async def pending(self, queue: Queue, deadline: float) -> Reply:
-        """Return how many jobs of a queue have not begun."""
-        reply = await self._ask(queue.pool, "pending", queue.name, deadline)
-        return self._told(queue.name, "pending", reply, queue)
+        """Return how many jobs of a queue have not started."""
+        reply = await self._request_owner(queue.pool, "pending", queue.name, deadline)
+        return self._log_reply(queue.name, "pending", reply, queue)
 
-    async def _ask(self, pool: str, verb: str, subject: str, deadline: float) -> Reply:
+    async def _request_owner(
+        self, pool: str, verb: str, subject: str, deadline: float
+    ) -> Reply:
         loop = asyncio.get_running_loop()
         reason = "no_owner"
-        for attempt in range(ASK_TRIES):
-            left = deadline - DEADLINE_SLACK - loop.time()
+        for attempt in range(OWNER_REQUEST_ATTEMPTS):
+            left = deadline - DEADLINE_MARGIN - loop.time()
             if left <= 0.02:
                 break
             if attempt:
-                await asyncio.sleep(min(ASK_PAUSE, left / 2))
+                await asyncio.sleep(min(OWNER_RETRY_PAUSE, left / 2))
                 self._metrics.retries.labels("owner").inc()
-            answer = await self._ask_owner(pool, verb, subject, min(ASK_TIME, left))
+            answer = await self._request_owner_once(
+                pool, verb, subject, min(OWNER_REQUEST_TIMEOUT, left)
+            )
             if answer is not None and not answer.unsure:
-                return _reply(verb, answer)
+                return _make_owner_reply(verb, answer)
             if answer is not None:
                 reason = answer.unsure
-        return _not_now(reason)
+        return _refuse_for_now(reason)
 
-    async def _ask_owner(
+    async def _request_owner_once(
         self, pool: str, verb: str, subject: str, timeout: float
     ) -> JobAnswer | None:
         node = self._find_owner(pool)
@@ -218,8 +228,10 @@
         except SiskinroadError:
             return JobAnswer(0, "owner_silent", "", 0)
 
-    async def answer(self, msg: JobQuestion, timeout: float = ASK_TIME) -> JobAnswer:
-        """Answer a question about a pool that this daemon owns."""
+    async def answer(
+        self, msg: JobQuestion, timeout: float = OWNER_REQUEST_TIMEOUT
+    ) -> JobAnswer:
+        """Answer another daemon's request about a pool that this daemon owns."""
         owner = self._owners.get(msg.pool)
         if owner is None:
             return JobAnswer(msg.id, "not_owner", "", 0)
@@ -234,19 +246,19 @@
                     return JobAnswer(msg.id, "", "", owner.pending(msg.subject))
         except SiskinroadError as exc:
             log.warning(
-                "desk: question is not answered",
+                "desk: owner could not answer the request",
                 extra={"request": msg.subject, "verb": msg.verb, "error": str(exc)},
             )
             return JobAnswer(msg.id, "owner_unsure", "", 0)
         return JobAnswer(msg.id, "unknown_verb", "", 0)
 
-    def _told(
+    def _log_reply(
         self, subject: str, verb: str, reply: Reply, queue: Queue | None = None
     ) -> Reply:
         if reply.kind not in (ReplyKind.OK, ReplyKind.NO_JOB):
             self._metrics.refusals.labels(verb, reply.reason or reply.kind).inc()
         log.info(
-            "desk: answered",
+            "desk: replied to caller",
             extra={
                 "request": subject,
                 "verb": verb,
@@ -262,7 +274,7 @@
         return reply
 
 
-def _reply(verb: str, answer: JobAnswer) -> Reply:
+def _make_owner_reply(verb: str, answer: JobAnswer) -> Reply:
     if verb == "pending":
         return Reply(ReplyKind.OK, pending=answer.pending)
     if not answer.state:
--- a/siskinroad/work/follow.py
+++ b/siskinroad/work/follow.py
@@ -1,4 +1,4 @@
-"""Follows a topic: the newest of each key, then every record behind them."""
+"""Following of a topic: the newest record of each key, then every later record."""
 
 from __future__ import annotations
 
@@ -19,10 +19,11 @@
 
 __all__ = ["Follower"]
 
-# Seconds that an answer may take beyond the wait that was asked for.
-ANSWER_TIME = 1.2
-FIRST_PAUSE = 0.1
-LONGEST_PAUSE = 1.0
+# Seconds that a reply may take beyond the requested wait.
+REPLY_TIMEOUT = 1.2
+# Bounds in seconds of the pause after a failed read; it doubles with each failure.
+FIRST_RETRY_PAUSE = 0.1
+LONGEST_RETRY_PAUSE = 1.0
 
 log = logging.getLogger("siskinroad.follow")
 
@@ -30,33 +31,33 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Found:
-    """What one read has found; ``whole`` is as for ``Follower``'s ``apply``."""
+class _ReadResult:
+    """The result of one read; ``is_snapshot`` as for ``Follower``'s ``apply``."""
 
     items: tuple[Newest, ...]
-    whole: bool
+    is_snapshot: bool
     next: int
     confirmed_at: float
 
 
 class Follower:
-    """Reads one topic for as long as it runs; offsets never go back.
+    """A reader of one topic whose position never goes back.
 
     Parameters
     ----------
     apply : callable
-        Called with records in the order of their offsets, and whether they are
-        the newest of every key, so that keys not among them are gone.
+        Called with records in the order of their offsets, and whether they are a
+        snapshot: the newest record of every key, so that any other key is gone.
     wait : float
-        Seconds for which the store may wait for a record.
+        Seconds for which the store may hold a read open for a new record.
     spacing : float
         Least seconds between two reads.
 
     Attributes
     ----------
     confirmed_at : float
-        Loop time at which the last answered read was sent: all that was
-        appended before it has been applied.
+        Loop time at which the last successful read up to the topic's end was
+        sent: every record appended before then has been applied.
     """
 
     def __init__(
@@ -76,99 +77,101 @@
         self._apply = apply
         self._wait = wait
         self._spacing = spacing
-        self._limit: asyncio.Timeout | None = None
+        self._read_timeout: asyncio.Timeout | None = None
 
     def nudge(self) -> None:
-        """Ask anew at once.
+        """Abandon the pending read and read again at once.
 
-        The store answers again after a silence; questions of before never get an
-        answer, and each would be waited for to its end.
+        Requests sent before an outage of the store are never answered, and each
+        would otherwise be waited for until its time limit.
         """
-        if self._limit is not None and not self._limit.expired():
-            self._limit.reschedule(-1)
+        if self._read_timeout is not None and not self._read_timeout.expired():
+            self._read_timeout.reschedule(-1)
 
     async def run(self) -> None:
         """Follow until cancelled."""
-        pause = FIRST_PAUSE
+        pause = FIRST_RETRY_PAUSE
         while True:
             try:
-                async with asyncio.timeout(None) as limit:
-                    self._limit = limit
-                    pause = await self._turn(pause)
+                async with asyncio.timeout(None) as read_timeout:
+                    self._read_timeout = read_timeout
+                    pause = await self._run_once(pause)
             except TimeoutError:
-                pause = FIRST_PAUSE
+                pause = FIRST_RETRY_PAUSE
             finally:
-                self._limit = None
+                self._read_timeout = None
 
-    async def _turn(self, pause: float) -> float:
+    async def _run_once(self, pause: float) -> float:
         """Read once, then pause; return the pause after the next failure.
 
-        Errors of whoever takes the records are none of the store's, and end this.
+        Errors raised by ``apply`` are not errors of the store, and propagate.
         """
         try:
-            found = await self._fetch()
+            result = await self._fetch()
         except SiskinroadError as exc:
-            self._note(False, exc)
+            self._log_reachability(False, exc)
             await asyncio.sleep(pause)
-            return min(2 * pause, LONGEST_PAUSE)
-        self._note(True, None)
-        self._take(found)
+            return min(2 * pause, LONGEST_RETRY_PAUSE)
+        self._log_reachability(True, None)
+        self._apply_result(result)
         if self._spacing:
             await asyncio.sleep(self._spacing)
-        return FIRST_PAUSE
+        return FIRST_RETRY_PAUSE
 
-    async def _fetch(self) -> _Found:
+    async def _fetch(self) -> _ReadResult:
         if self.next < 0:
-            return await self._load()
+            return await self._read_newest()
         try:
-            return await self._read()
+            return await self._read_tail()
         except TrimmedError as exc:
             log.warning(
-                "follow: history is gone, reading the newest records",
+                "follow: records trimmed; reading the newest record of each key",
                 extra={"topic": self.topic, "from": self.next, "first": exc.first},
             )
-            return await self._load()
+            return await self._read_newest()
 
-    async def _load(self) -> _Found:
+    async def _read_newest(self) -> _ReadResult:
         sent_at = asyncio.get_running_loop().time()
-        page = await newest_of_all(self.store, self.topic, ANSWER_TIME)
-        self._check_stale(page.end)
+        page = await newest_of_all(self.store, self.topic, REPLY_TIMEOUT)
+        self._reject_stale(page.end)
         items = sorted(page.items, key=lambda item: item.offset)
-        return _Found(tuple(items), True, page.end, sent_at)
+        return _ReadResult(tuple(items), True, page.end, sent_at)
 
-    async def _read(self) -> _Found:
+    async def _read_tail(self) -> _ReadResult:
         sent_at = asyncio.get_running_loop().time()
         tail = await self.store.read(
-            self.topic, self.next, wait=self._wait, timeout=self._wait + ANSWER_TIME
+            self.topic, self.next, wait=self._wait, timeout=self._wait + REPLY_TIMEOUT
         )
-        self._check_stale(tail.end)
+        self._reject_stale(tail.end)
         at_end = tail.next >= tail.end
         confirmed_at = sent_at if at_end else self.confirmed_at
-        return _Found(_numbered(tail), False, tail.next, confirmed_at)
+        return _ReadResult(_with_offsets(tail), False, tail.next, confirmed_at)
 
-    def _take(self, found: _Found) -> None:
-        if found.items or found.whole:
-            self._apply(found.items, found.whole)
-        self.next = found.next
-        self.confirmed_at = found.confirmed_at
+    def _apply_result(self, result: _ReadResult) -> None:
+        if result.items or result.is_snapshot:
+            self._apply(result.items, result.is_snapshot)
+        self.next = result.next
+        self.confirmed_at = result.confirmed_at
 
-    def _check_stale(self, end: int) -> None:
-        """Refuse an answer that is older than what has been read already."""
+    def _reject_stale(self, end: int) -> None:
+        """Raise if a reply is older than what has already been read."""
         if end < self.next:
-            text = f"the topic ends at {end}, before {self.next}"
+            text = (
+                f"stale reply: the topic ends at {end}, already read up to {self.next}"
+            )
             raise StoreUnavailableError(text, step="follow")
 
-    def _note(self, reachable: bool, exc: SiskinroadError | None) -> None:
+    def _log_reachability(self, reachable: bool, exc: SiskinroadError | None) -> None:
         if reachable == self.reachable:
             return
         self.reachable = reachable
-        text = "follow: topic is read again" if reachable else "follow: topic not read"
+        text = "follow: read succeeds again" if reachable else "follow: read failed"
         log.warning(
             text, extra={"topic": self.topic, "next": self.next, "error": str(exc)}
         )
 
 
-def _numbered(tail: Tail) -> tuple[Newest, ...]:
+def _with_offsets(tail: Tail) -> tuple[Newest, ...]:
     return tuple(
         Newest(record.key, record.value, tail.start + i)
         for i, record in enumerate(tail.records)
--- a/siskinroad/work/intake.py
+++ b/siskinroad/work/intake.py
@@ -1,10 +1,10 @@
-"""Stores accepted jobs, all of a pool by way of one daemon.
+"""Storage of submitted jobs, for each pool through one daemon: the pool's job writer.
 
-Load that this answers: a slow store while a pool changes its owner. A partition
-takes one append after another, so that eight daemons which each append by themselves
-wait behind each other, and the claim of the next owner behind them all. One daemon
-gathers what all others hand in: the owner, or else the one that is about to own the
-pool, or else one that all agree on.
+A partition of the store processes one append at a time. With a slow store, eight
+daemons that each append for themselves wait for each other, and a new owner's claim
+waits behind them all. The job writer therefore batches the jobs of all daemons. It is
+the pool's owner, or else the daemon that is about to own the pool, or else one that all
+daemons select by the same rule.
 """
 
 from __future__ import annotations
@@ -28,28 +28,28 @@
 
 __all__ = ["Intake"]
 
-# Seconds that are left for storing a job directly when the gathering daemon has
-# not answered; it has the rest of the caller's time.
-DIRECT_TIME = 0.6
-# Seconds of its time that are left for the answer's way back.
-WAY_SLACK = 0.15
+# Seconds of the caller's time that are reserved for storing a job directly if the
+# job writer does not answer; the job writer has the rest.
+DIRECT_APPEND_TIME = 0.6
+# Seconds of the job writer's time that are reserved for returning the reply.
+REPLY_MARGIN = 0.15
 
 log = logging.getLogger("siskinroad.intake")
 
 
 class Intake:
-    """Appends records to the pools' topics of jobs.
+    """The component that appends records to the pools' job topics.
 
     Parameters
     ----------
     node : str
         This daemon's name.
-    gatherer : callable
-        Returns the daemon that gathers a pool's jobs.
-    alive : callable
-        Returns whether a daemon was heard of late.
+    find_job_writer : callable
+        Returns the job writer of a pool.
+    is_alive : callable
+        Returns whether a heartbeat of a daemon was received recently.
     store_heard_at : callable
-        Returns the loop time of the store's last answer by any way.
+        Returns the loop time of the store's last answer, direct or relayed.
     """
 
     def __init__(
@@ -57,68 +57,69 @@
         node: str,
         store: Store,
         calls: Calls,
-        gatherer: Callable[[str], str],
-        alive: Callable[[str], bool],
+        find_job_writer: Callable[[str], str],
+        is_alive: Callable[[str], bool],
         store_heard_at: Callable[[], float],
         metrics: WorkMetrics,
     ) -> None:
         self._node = node
         self._store = store
         self._calls = calls
-        self._gatherer = gatherer
-        self._alive = alive
+        self._find_job_writer = find_job_writer
+        self._is_alive = is_alive
         self._store_heard_at = store_heard_at
         self._metrics = metrics
         self._batchers: dict[str, Batcher] = {}
 
     async def store(self, pool: str, record: Record, deadline: float) -> SubmitOutcome:
-        """Store a record by way of the gathering daemon, or else directly.
+        """Store a record through the job writer, or directly if that does not answer.
 
-        Storing it twice is harmless, as its key is its own, but it is not done
-        where the gathering daemon has tried in vain: a slow partition gets slower.
+        Storing a record twice is harmless, as its key is unique. It is not stored
+        directly where the job writer reports failure, because a slow partition
+        would become slower.
         """
-        outcome = await self._hand_over(pool, record, deadline)
+        outcome = await self._submit_to_job_writer(pool, record, deadline)
         if outcome is not None:
             return outcome
         direct = await self.append(pool, record, deadline)
-        # The first try may take effect though the second one did nothing.
+        # The job writer may still store the record even if the direct append failed.
         stored = direct is SubmitOutcome.STORED
         return SubmitOutcome.STORED if stored else SubmitOutcome.UNKNOWN
 
-    async def _hand_over(
+    async def _submit_to_job_writer(
         self, pool: str, record: Record, deadline: float
     ) -> SubmitOutcome | None:
-        """Return what the gathering daemon says; None if it does not answer."""
-        node = self._gatherer(pool)
+        """Return the outcome from the job writer; None if it does not answer."""
+        node = self._find_job_writer(pool)
         if node == self._node:
             return await self.append(pool, record, deadline)
         left = deadline - asyncio.get_running_loop().time()
-        left = max(left - DIRECT_TIME, left / 2)
+        left = max(left - DIRECT_APPEND_TIME, left / 2)
         try:
             reply = await self._calls.ask(
                 node,
                 lambda n: SubmitRequest(n, pool, record.key, record.value, left),
                 SubmitReply,
                 left,
-                lambda: self._alive(node),
+                lambda: self._is_alive(node),
             )
         except SiskinroadError as exc:
             self._metrics.retries.labels("owner").inc()
             log.warning(
-                "intake: gathering daemon does not answer",
+                "intake: job writer did not answer; storing the job directly",
                 extra={"request": record.key, "peer": node, "error": str(exc)},
             )
             return None
         return reply.outcome
 
     async def accept(self, msg: SubmitRequest) -> SubmitReply:
-        """Store a job that another daemon has handed over."""
-        deadline = asyncio.get_running_loop().time() + msg.left - WAY_SLACK
+        """Store a job on behalf of another daemon."""
+        deadline = asyncio.get_running_loop().time() + msg.left - REPLY_MARGIN
         record = Record(msg.key, msg.value)
         return SubmitReply(msg.id, await self.append(msg.pool, record, deadline))
 
     async def append(self, pool: str, record: Record, deadline: float) -> SubmitOutcome:
-        """Append directly, gathered with what else is handed in meanwhile."""
+        """Append a record, batched with others that arrive meanwhile."""
         batcher = self._batchers.get(pool)
         if batcher is None:
             batcher = Batcher(self._store, job_topic(pool), self._store_heard_at)
@@ -126,12 +127,12 @@
         try:
             await batcher.put(record, deadline)
         except StoreUnavailableError as exc:
-            return self._not_stored(SubmitOutcome.NOT_DONE, pool, record, exc)
+            return self._note_not_stored(SubmitOutcome.NOT_DONE, pool, record, exc)
         except StoreUnknownError as exc:
-            return self._not_stored(SubmitOutcome.UNKNOWN, pool, record, exc)
+            return self._note_not_stored(SubmitOutcome.UNKNOWN, pool, record, exc)
         return SubmitOutcome.STORED
 
-    def _not_stored(
+    def _note_not_stored(
         self, outcome: SubmitOutcome, pool: str, record: Record, exc: SiskinroadError
     ) -> SubmitOutcome:
         label = "store_unknown"
@@ -140,7 +141,7 @@
         self._metrics.retries.labels(label).inc()
         now = asyncio.get_running_loop().time()
         log.info(
-            "intake: not stored",
+            "intake: job record not stored or outcome unknown",
             extra={
                 "request": record.key,
                 "pool": pool,
@@ -152,6 +153,6 @@
         return outcome
 
     def close(self) -> None:
-        """Give up what waits; what is on its way may yet take effect."""
+        """Fail the queued records; batches in flight may still take effect."""
         for batcher in self._batchers.values():
             batcher.close()
--- a/siskinroad/work/watch.py
+++ b/siskinroad/work/watch.py
@@ -1,7 +1,7 @@
-"""Finds out soon that the store answers again after a silence.
+"""Early detection that the store answers again after an outage.
 
-Load that this answers: an outage that ends while every daemon still waits for the
-answers to its old questions. Callers are refused until one answer has come.
+When an outage ends, every daemon may still be waiting for replies to requests sent
+during it, and callers are refused until one reply arrives. Short probes end that wait.
 """
 
 from __future__ import annotations
@@ -15,29 +15,29 @@
 
 __all__ = ["StoreWatch"]
 
-# Seconds without an answer after which the store is asked: reads that wait a
-# second answer more often than that.
-QUIET_TIME = 1.2
-# Seconds between two questions, and for the answer to one.
-ASK_SPACING = 0.25
-ASK_TIME = 0.6
+# Seconds without an answer after which the store is probed. Reads that wait for up to
+# one second answer more often than that, so a healthy store is not probed.
+SILENCE_LIMIT = 1.2
+# Seconds between two probes, and the time limit of one.
+PROBE_INTERVAL = 0.25
+PROBE_TIMEOUT = 0.6
 
 log = logging.getLogger("siskinroad.watch")
 
 
 class StoreWatch:
-    """Asks the store a small question now and then while it is silent.
+    """A prober that sends short reads to the store while it is silent.
 
     Parameters
     ----------
     store : Store
-        The store as this daemon reaches it by itself.
+        The store, reached directly and not through a peer.
     topic : str
-        A topic that every daemon may read.
+        The topic to read; every daemon may read it.
     answered_at : callable
         Returns the loop time of the store's last direct answer.
-    answered : callable
-        Called when a question has been answered.
+    on_answer : callable
+        Called when a probe has been answered.
     """
 
     def __init__(
@@ -45,27 +45,27 @@
         store: Store,
         topic: str,
         answered_at: Callable[[], float],
-        answered: Callable[[], None],
+        on_answer: Callable[[], None],
     ) -> None:
         self._store = store
         self._topic = topic
         self._answered_at = answered_at
-        self._answered = answered
+        self._on_answer = on_answer
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Probe the store whenever it is silent, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(ASK_SPACING)
-            if loop.time() - self._answered_at() >= QUIET_TIME:
-                await self._ask()
+            await asyncio.sleep(PROBE_INTERVAL)
+            if loop.time() - self._answered_at() >= SILENCE_LIMIT:
+                await self._probe()
 
-    async def _ask(self) -> None:
+    async def _probe(self) -> None:
         try:
-            await self._store.read(self._topic, 0, wait=0.0, timeout=ASK_TIME)
+            await self._store.read(self._topic, 0, wait=0.0, timeout=PROBE_TIMEOUT)
         except TrimmedError:
-            self._answered()
+            self._on_answer()
         except SiskinroadError as exc:
-            log.debug("watch: store is silent", extra={"error": str(exc)})
+            log.debug("watch: store probe failed", extra={"error": str(exc)})
         else:
-            self._answered()
+            self._on_answer()
