--- a/siskinroad/work/batcher.py
+++ b/siskinroad/work/batcher.py
@@ -2,8 +2,8 @@
 
 A partition of the store processes one append at a time. If appends are slow and every
 record is appended alone, many submissions queue up until all of them miss their
-deadlines. If the store stops answering, only the batch in flight has an unknown outcome: everything queued
-behind it is known not to be stored and is refused soon.
+deadlines. If the store stops answering, only the batch in flight has an unknown
+outcome: everything queued behind it is known not to be stored and is refused soon.
 """
 
 from __future__ import annotations
@@ -161,9 +161,7 @@
         except StoreUnavailableError as exc:
             not_stored = [pending for pending in batch if not pending.may_be_stored]
             self._fail_all(not_stored, exc)
-            return self._keep_in_time(
-                [pending for pending in batch if pending.may_be_stored], exc
-            )
+            return self._keep_in_time([p for p in batch if p.may_be_stored], exc)
         except StoreUnknownError as exc:
             for pending in batch:
                 pending.may_be_stored = True
@@ -187,7 +185,7 @@
     def _refuse_unsent(self, why: str) -> None:
         """Refuse the records that have not been sent."""
         log.warning(
-            "batcher: append not answered; refusing the records queued behind it",
+            "batcher: an append has no answer",
             extra={"topic": self._topic, "refused": len(self._pending), "why": why},
         )
         self._fail_all(self._pending, StoreUnavailableError(why, step="batcher"))
@@ -198,15 +196,9 @@
     ) -> list[_PendingAppend]:
         """Return the records that may be retried; the others' outcome is unknown."""
         now = asyncio.get_running_loop().time()
-        expired = [
-            pending for pending in batch if pending.deadline - now < DEADLINE_MARGIN
-        ]
+        expired = [p for p in batch if p.deadline - now < DEADLINE_MARGIN]
         self._fail_all(expired, StoreUnknownError(str(exc), step="batcher"))
-        return [
-            pending
-            for pending in batch
-            if pending not in expired and not pending.fut.done()
-        ]
+        return [p for p in batch if p not in expired and not p.fut.done()]
 
     @staticmethod
     def _fail_all(batch: list[_PendingAppend], exc: SiskinroadError) -> None:
--- a/siskinroad/work/desk.py
+++ b/siskinroad/work/desk.py
@@ -246,7 +246,7 @@
                     return JobAnswer(msg.id, "", "", owner.pending(msg.subject))
         except SiskinroadError as exc:
             log.warning(
-                "desk: owner could not answer the request",
+                "desk: question is not answered",
                 extra={"request": msg.subject, "verb": msg.verb, "error": str(exc)},
             )
             return JobAnswer(msg.id, "owner_unsure", "", 0)
@@ -258,7 +258,7 @@
         if reply.kind not in (ReplyKind.OK, ReplyKind.NO_JOB):
             self._metrics.refusals.labels(verb, reply.reason or reply.kind).inc()
         log.info(
-            "desk: replied to caller",
+            "desk: answered",
             extra={
                 "request": subject,
                 "verb": verb,
--- a/siskinroad/work/follow.py
+++ b/siskinroad/work/follow.py
@@ -165,7 +165,7 @@
         if reachable == self.reachable:
             return
         self.reachable = reachable
-        text = "follow: read succeeds again" if reachable else "follow: read failed"
+        text = "follow: topic is read again" if reachable else "follow: topic not read"
         log.warning(
             text, extra={"topic": self.topic, "next": self.next, "error": str(exc)}
         )
--- a/siskinroad/work/intake.py
+++ b/siskinroad/work/intake.py
@@ -141,7 +141,7 @@
         self._metrics.retries.labels(label).inc()
         now = asyncio.get_running_loop().time()
         log.info(
-            "intake: job record not stored or outcome unknown",
+            "intake: not stored",
             extra={
                 "request": record.key,
                 "pool": pool,
--- a/siskinroad/work/orders.py
+++ b/siskinroad/work/orders.py
@@ -112,7 +112,7 @@
                 outcome = reply.rejection.value
         self.term.parts.metrics.starts.labels(outcome.partition(":")[0]).inc()
         log.info(
-            "orders: start command",
+            "orders: start",
             extra={
                 "request": command.task.job,
                 "task": (
@@ -156,7 +156,7 @@
                 command = self._make_command(host, effect.run)
                 outcome, is_final = await self._send_stop(command)
             log.info(
-                "orders: stop command",
+                "orders: stop",
                 extra={
                     "request": task.job,
                     "task": f"{task.occurrence}.{task.step}.{task.index}",
@@ -203,7 +203,7 @@
             outcome = f"unknown: {exc}"
             effect.run.pace = -1
         log.info(
-            "orders: throttle command",
+            "orders: throttle",
             extra={
                 "request": effect.run.key[0].job,
                 "host": host.name,
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -103,7 +103,7 @@
             book.cancel(job_id, now, wall)
         self.term.right_until = inherited.claimed_at + RIGHT_TIME
         log.info(
-            "owner: term started",
+            "owner: begins its term",
             extra={
                 "pool": self.pool,
                 "term": self.term.number,
@@ -240,7 +240,7 @@
                 )
                 if not known:
                     log.info(
-                        "owner: job accepted",
+                        "owner: job taken in",
                         extra={
                             "request": job,
                             "queue": stored.queue,
