--- a/tests/work/cell.py
+++ b/tests/work/cell.py
@@ -1,4 +1,4 @@
-"""Several daemons of one process on a paused clock, over in-memory twins."""
+"""Test cell: several daemons in one process, on a paused clock and in-memory fakes."""
 
 import asyncio
 import random
@@ -26,7 +26,7 @@
 
 CODEC = messages.CODEC
 POOL = "desk"
-HOST_ROOM = Resources(32000, 64000, 8, 0)
+HOST_CAPACITY = Resources(32000, 64000, 8, 0)
 FAST = Queue("fast", "h", "/fast/", POOL, 0, 3, 1.5, 0.4, 3.0, None)
 SLOW = Queue("slow", "h", "/slow/", POOL, 2, 3, 4.0, 3.0, 3.0, None)
 ADVISED = Queue(
@@ -35,9 +35,9 @@
 SETUP = Setup(1, (FAST, SLOW, ADVISED), (POOL,), 1 << 18)
 
 
-def entry(name, draining=False, room=HOST_ROOM, rack="r1"):
+def entry(name, draining=False, capacity=HOST_CAPACITY, rack="r1"):
     return HostEntry(
-        name, POOL, name, "dc1", draining, room, frozenset({"a", rack}), rack
+        name, POOL, name, "dc1", draining, capacity, frozenset({"a", rack}), rack
     )
 
 
@@ -69,13 +69,13 @@
 SETUP_BY_VERSION = {1: SETUP}
 
 
-def host_record(name, draining=False, room=HOST_ROOM):
-    parts = [room.cpu_milli, room.memory_mib, room.accelerators, 0]
+def host_record(name, draining=False, capacity=HOST_CAPACITY):
+    parts = [capacity.cpu_milli, capacity.memory_mib, capacity.accelerators, 0]
     return Record(name, msgspec.json.encode({"draining": draining, "room": parts}))
 
 
 class Cell:
-    """A store, hosts and daemons; a daemon that is killed just stops."""
+    """A store, hosts and daemons; a killed daemon stops without draining."""
 
     def __init__(self, hosts=3, seed=1):
         self.logs = MemoryLogs()
@@ -83,7 +83,7 @@
         self.hosts = MemoryHosts()
         self.advisor = MemoryAdvisor()
         self.daemons = {}
-        self.lives = 0
+        self.incarnations = 0
         self.logs.append("keyed.setup", [Record("config", b"1")], None, None)
         for i in range(hosts):
             self.add_host(f"i-{i}")
@@ -99,14 +99,14 @@
         self.logs.append("keyed.list", [Record(name, b"")], None, None)
 
     def start(self, name):
-        self.lives += 1
+        self.incarnations += 1
         self.network.dark.discard(name)
         peers = self.network.join(name, CODEC)
         outside = Outside(
             MemoryStore(self.logs, name), self.hosts, self.advisor, PlainDecoder()
         )
         daemon = WorkDaemon(
-            Member(name, self.lives, name, "dc1", "r1"),
+            Member(name, self.incarnations, name, "dc1", "r1"),
             outside,
             peers,
             lambda member: None,
@@ -117,18 +117,18 @@
         self.daemons[name] = daemon
         return daemon
 
-    async def up(self, *names):
+    async def start_daemons(self, *names):
         for name in names:
             self.start(name)
         await asyncio.sleep(3.0)
 
-    async def kill(self, name, power=False):
-        if power:
+    async def kill(self, name, power_loss=False):
+        if power_loss:
             self.network.dark.add(name)
         await self.daemons.pop(name).close()
 
     def owner(self):
-        """Return the name of the daemon that owns the pool."""
+        """Return the name of the daemon that owns the pool, or None."""
         for name, daemon in self.daemons.items():
             if POOL in daemon.owners:
                 return name
@@ -145,8 +145,8 @@
         reply = await self.daemons[name].desk.show(queue, job_id, self.deadline())
         return reply.state or reply.kind.value
 
-    async def until(self, job_id, state, seconds=20.0):
-        """Wait until a job is shown in a state; return the seconds it took."""
+    async def wait_for_state(self, job_id, state, seconds=20.0):
+        """Wait until a job is shown in a state; return the seconds that this took."""
         began = asyncio.get_running_loop().time()
         while True:
             name = next(iter(self.daemons))
@@ -157,16 +157,16 @@
             assert now - began < seconds, f"{job_id} is {shown}"
             await asyncio.sleep(0.05)
 
-    async def until_starts(self, count, seconds=20.0):
-        """Wait until so many starts were carried out, and return them."""
+    async def wait_for_starts(self, count, seconds=20.0):
+        """Wait until the hosts have executed ``count`` starts; return all of them."""
         for _ in range(int(seconds / 0.05)):
             if len(self.hosts.starts()) >= count:
                 return self.hosts.starts()
             await asyncio.sleep(0.05)
         raise AssertionError(f"{len(self.hosts.starts())} starts, not {count}")
 
-    async def until_owned(self, seconds=10.0):
-        """Wait until a daemon owns the pool, and a little more."""
+    async def wait_for_owner(self, seconds=10.0):
+        """Wait until a daemon owns the pool, and one second more."""
         for _ in range(int(seconds / 0.05)):
             if self.owner() is not None:
                 break
@@ -177,8 +177,11 @@
         for daemon in list(self.daemons.values()):
             await daemon.close()
 
-    def check_never_twice(self):
-        """Check that no two runs of a task were started without an end between."""
+    def check_run_numbers(self):
+        """Check that each run of a task was started once, in the order of run numbers.
+
+        A repeated or lower number means that two runs of the task may have overlapped.
+        """
         by_task = {}
         for start in self.hosts.starts():
             by_task.setdefault(start.task, []).append(start)
--- a/tests/work/test_batcher.py
+++ b/tests/work/test_batcher.py
@@ -12,11 +12,12 @@
 )
 
 
-class RoughStore(Store):
-    """Takes ``delay`` for an append; loses some answers, or all while silent.
+class FaultyStore(Store):
+    """A store with slow appends that loses some answers, or all while ``silent``.
 
-    The partition works on one append after another for ``busy`` seconds each, also on
-    those that nobody waits for any more, and rejects what would wait over two seconds.
+    Each answer takes ``delay`` seconds. The partition processes one append at a time
+    for ``busy`` seconds each, including those whose client has stopped waiting, and
+    rejects an append that would queue for over two seconds.
     """
 
     def __init__(self, delay=0.004, busy=0.002):
@@ -54,7 +55,7 @@
         raise NotImplementedError
 
 
-def make(store):
+def make_batcher(store):
     return Batcher(store, "t", lambda: store.answered_at)
 
 
@@ -72,8 +73,8 @@
     return outcome, loop.time() - began
 
 
-async def stream(batcher, count, spacing=0.05, start=0):
-    """Submit so many jobs one after another, and return what became of each."""
+async def submit_stream(batcher, count, spacing=0.05, start=0):
+    """Submit records at an interval; return the outcome and time of each."""
     tasks = []
     for i in range(count):
         tasks.append(asyncio.create_task(submit(batcher, f"k{start + i}")))
@@ -81,88 +82,91 @@
     return await asyncio.gather(*tasks)
 
 
-def test_in_an_outage_all_but_the_batch_on_its_way_is_refused_within_a_second():
-    # Load: twenty submissions a second for three seconds while nothing is answered.
-    async def play():
-        store = RoughStore()
-        batcher = make(store)
+def test_outage_refuses_queued_records_within_a_second():
+    # Twenty submissions a second arrive for three seconds while the store answers
+    # nothing. Only the batch in flight may have an unknown outcome.
+    async def scenario():
+        store = FaultyStore()
+        batcher = make_batcher(store)
         await submit(batcher, "first")
         store.silent = True
-        found = await stream(batcher, 60)
+        found = await submit_stream(batcher, 60)
         outcomes = [outcome for outcome, _ in found]
         assert outcomes.count("unknown") == 1
         assert outcomes.count("refused") == 59
         assert max(took for outcome, took in found if outcome == "refused") <= 1.05
         assert not store.stored - {"first"}
-        # Once an append has stuck for a second, callers are refused at once.
+        # Once an append has been stuck for a second, callers are refused at once.
         assert max(took for _, took in found[25:50]) < 0.01
 
-    run(play())
+    run(scenario())
 
 
-def test_submissions_are_taken_again_once_the_store_has_answered_anything():
-    async def play():
-        store = RoughStore()
-        batcher = make(store)
+def test_records_are_accepted_again_after_any_store_answer():
+    async def scenario():
+        store = FaultyStore()
+        batcher = make_batcher(store)
         store.silent = True
-        await stream(batcher, 30)
+        await submit_stream(batcher, 30)
         store.silent = False
         assert (await submit(batcher, "early"))[0] == "refused"
         store.answered_at = asyncio.get_running_loop().time()
         assert (await submit(batcher, "late"))[0] == "stored"
 
-    run(play())
+    run(scenario())
 
 
-def test_a_store_that_turns_slow_refuses_nobody_and_is_not_flooded():
-    # Load: answers that take a hundred times their usual time from one on, and two
-    # daemons that append to the same partition.
-    async def play():
-        store = RoughStore()
-        daemons = [make(store) for _ in range(2)]
-        await asyncio.gather(*[stream(d, 5) for d in daemons])
+def test_slow_store_refuses_no_record_and_is_not_flooded():
+    # Answers become a hundred times slower from one append to the next, while two
+    # daemons append to the same partition.
+    async def scenario():
+        store = FaultyStore()
+        daemons = [make_batcher(store) for _ in range(2)]
+        await asyncio.gather(*[submit_stream(d, 5) for d in daemons])
         store.delay, store.busy = 0.4, 0.2
         store.appends = 0
-        found = await asyncio.gather(*[stream(d, 100, start=10) for d in daemons])
+        found = await asyncio.gather(
+            *[submit_stream(d, 100, start=10) for d in daemons]
+        )
         for outcomes in found:
             assert {outcome for outcome, _ in outcomes} == {"stored"}
             assert max(took for _, took in outcomes) < 2.0
-        # Nothing is repeated: each append takes 0.6 s at least.
+        # No append is repeated: each takes at least 0.6 s.
         assert store.appends <= 2 * (5.5 / 0.6 + 1)
 
-    run(play())
+    run(scenario())
 
 
-async def answer_others(store):
-    """Answer other calls all the time."""
+async def answer_other_calls(store):
+    """Keep recording that the store has just answered another call."""
     while True:
         await asyncio.sleep(0.1)
         store.answered_at = asyncio.get_running_loop().time()
 
 
-def test_lost_answers_of_a_store_that_answers_others_refuse_nobody():
-    # Load: a third of the appends is done and not answered.
-    async def play():
-        store = RoughStore()
+def test_lost_answers_refuse_no_record_while_store_answers_other_calls():
+    # A third of the appends takes effect without an answer.
+    async def scenario():
+        store = FaultyStore()
         store.lose_every = 3
-        others = asyncio.create_task(answer_others(store))
-        found = await stream(make(store), 60)
+        others = asyncio.create_task(answer_other_calls(store))
+        found = await submit_stream(make_batcher(store), 60)
         others.cancel()
         assert {outcome for outcome, _ in found} == {"stored"}
         assert max(took for _, took in found) < 2.1
 
-    run(play())
+    run(scenario())
 
 
-def test_one_stuck_partition_refuses_what_waits_though_others_answer():
-    async def play():
-        store = RoughStore()
-        batcher = make(store)
+def test_stuck_partition_refuses_queued_records_while_store_answers_other_calls():
+    async def scenario():
+        store = FaultyStore()
+        batcher = make_batcher(store)
         store.silent = True
-        others = asyncio.create_task(answer_others(store))
-        found = await stream(batcher, 40)
+        others = asyncio.create_task(answer_other_calls(store))
+        found = await submit_stream(batcher, 40)
         others.cancel()
         assert max(took for outcome, took in found if outcome == "refused") <= 2.05
         assert [outcome for outcome, _ in found].count("unknown") <= 2
 
-    run(play())
+    run(scenario())
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -1,4 +1,4 @@
-"""Daemons that share a pool: hard cases caused on a paused clock, no bench."""
+"""Daemons that share a pool: failures injected on a paused clock."""
 
 import asyncio
 
@@ -10,95 +10,97 @@
 from siskinroad.work.model import TaskId
 from tests.work.cell import ADVISED, POOL, Cell, job, step
 
-ID = "00000000000000aa"
+JOB_ID = "00000000000000aa"
 
 
-def scene(play, **fields):
-    async def whole():
+def run_scenario(scenario, **fields):
+    async def run_and_close():
         cell = Cell(**fields)
         try:
-            await play(cell)
+            await scenario(cell)
         finally:
             await cell.close()
-        cell.check_never_twice()
+        cell.check_run_numbers()
 
-    run(whole())
+    run(run_and_close())
 
 
-def test_a_job_of_two_steps_is_stored_run_in_order_and_shown_complete():
-    async def play(cell):
-        await cell.up("a", "b", "c")
+def test_two_step_job_runs_in_order_and_completes():
+    async def scenario(cell):
+        await cell.start_daemons("a", "b", "c")
         spec = job(step(3), step(2, after=(0,)))
-        reply = await cell.submit("b", ID, spec)
+        reply = await cell.submit("b", JOB_ID, spec)
         assert reply.kind == "ok"
-        await cell.until(ID, "complete")
+        await cell.wait_for_state(JOB_ID, "complete")
         starts = cell.hosts.starts()
         first_end = min(s.at for s in starts if s.task.step == 0) + 1.0
         assert len(starts) == 5
         assert all(s.at >= first_end for s in starts if s.task.step == 1)
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_a_submission_that_comes_again_after_the_end_runs_nothing():
-    async def play(cell):
-        await cell.up("a", "b")
-        await cell.submit("a", ID, job())
-        await cell.until(ID, "complete")
-        reply = await cell.submit("b", ID, job())
+def test_resubmission_of_completed_job_starts_nothing():
+    async def scenario(cell):
+        await cell.start_daemons("a", "b")
+        await cell.submit("a", JOB_ID, job())
+        await cell.wait_for_state(JOB_ID, "complete")
+        reply = await cell.submit("b", JOB_ID, job())
         assert reply.kind == "ok"
         await asyncio.sleep(3)
         assert len(cell.hosts.starts()) == 1
-        assert await cell.state("b", ID) == "complete"
+        assert await cell.state("b", JOB_ID) == "complete"
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_a_killed_owner_is_replaced_while_its_work_goes_on():
-    async def play(cell):
+def test_runs_continue_when_owner_is_killed():
+    async def scenario(cell):
         for host in cell.hosts.hosts.values():
             host.work = 6.0
-        await cell.up("a", "b", "c")
-        await cell.submit("a", ID, job(step(4)))
+        await cell.start_daemons("a", "b", "c")
+        await cell.submit("a", JOB_ID, job(step(4)))
         await asyncio.sleep(0.5)
         assert len(cell.hosts.starts()) == 4
         await cell.kill(cell.owner())
-        await cell.until(ID, "complete")
+        await cell.wait_for_state(JOB_ID, "complete")
         assert len(cell.hosts.starts()) == 4
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_a_killed_owner_s_pool_serves_new_work_within_half_a_second():
-    # Load: urgent jobs that are worth most within a second, while owners are killed.
-    async def play(cell):
-        await cell.up("a", "b", "c")
+def test_takeover_from_killed_owner_starts_new_work_within_half_a_second():
+    # Urgent jobs lose most of their value within a second, so a killed owner must be
+    # replaced before its heartbeats time out.
+    async def scenario(cell):
+        await cell.start_daemons("a", "b", "c")
         await cell.kill(cell.owner())
         began = asyncio.get_running_loop().time()
-        await cell.submit(next(iter(cell.daemons)), ID, job())
-        starts = await cell.until_starts(1)
+        await cell.submit(next(iter(cell.daemons)), JOB_ID, job())
+        starts = await cell.wait_for_starts(1)
         assert starts[0].at - began < 0.5
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_an_owner_without_power_is_replaced_within_two_seconds_and_a_half():
-    async def play(cell):
-        await cell.up("a", "b", "c")
-        await cell.kill(cell.owner(), power=True)
+def test_takeover_after_power_loss_starts_new_work_within_two_and_a_half_seconds():
+    async def scenario(cell):
+        await cell.start_daemons("a", "b", "c")
+        await cell.kill(cell.owner(), power_loss=True)
         began = asyncio.get_running_loop().time()
-        await cell.submit(next(iter(cell.daemons)), ID, job())
-        starts = await cell.until_starts(1)
+        await cell.submit(next(iter(cell.daemons)), JOB_ID, job())
+        starts = await cell.wait_for_starts(1)
         assert starts[0].at - began < 2.5
 
-    scene(play)
+    run_scenario(scenario)
 
 
 def test_after_everything_was_killed_work_starts_within_a_second_of_the_restart():
-    # Load: all daemons are killed at once while jobs wait; they start again.
-    async def play(cell):
-        await cell.up("a", "b", "c")
-        reply = await cell.submit("a", ID, job(step(20, cpu_milli=32000)))
+    # All daemons are killed at once while jobs wait, and then restart; the waiting jobs
+    # must not wait for long after that.
+    async def scenario(cell):
+        await cell.start_daemons("a", "b", "c")
+        reply = await cell.submit("a", JOB_ID, job(step(20, cpu_milli=32000)))
         assert reply.kind == "ok"
         await asyncio.sleep(0.2)
         before = len(cell.hosts.starts())
@@ -110,57 +112,58 @@
         began = asyncio.get_running_loop().time()
         for name in "abc":
             cell.start(name)
-        starts = await cell.until_starts(before + 1)
+        starts = await cell.wait_for_starts(before + 1)
         assert starts[-1].at - began < 1.0
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_a_young_daemon_leaves_an_owner_alone_that_it_has_not_heard():
-    # Trace: a daemon restarts on a busy host, and the owner's beats reach it late.
-    async def play(cell):
-        await cell.up("a", "b", "c")
+def test_restarted_daemon_does_not_claim_pool_of_owner_not_yet_heard():
+    # After a restart on a busy host, the owner's heartbeats arrive late; the daemon
+    # must not take that for a dead owner.
+    async def scenario(cell):
+        await cell.start_daemons("a", "b", "c")
         owner = cell.owner()
-        young = next(name for name in "abc" if name != owner)
-        await cell.kill(young)
-        cell.network.faults.cut.add((owner, young))
-        cell.start(young)
-        cell.daemons[young].peers.probe = listens
+        restarted = next(name for name in "abc" if name != owner)
+        await cell.kill(restarted)
+        cell.network.faults.cut.add((owner, restarted))
+        cell.start(restarted)
+        cell.daemons[restarted].peers.probe = answer_listening
         await asyncio.sleep(1.0)
         cell.network.faults.cut.clear()
         await asyncio.sleep(1.0)
         assert cell.owner() == owner
 
-    async def listens(name):
+    async def answer_listening(name):
         return Reach.LISTENS
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_a_polite_stop_hands_over_at_once():
-    async def play(cell):
-        await cell.up("a", "b", "c")
+def test_drained_owner_hands_over_at_once():
+    async def scenario(cell):
+        await cell.start_daemons("a", "b", "c")
         owner = cell.owner()
         await cell.daemons[owner].drain()
-        # The process serves on for a while, so that the others hear of it.
+        # The process runs on briefly, so that its last heartbeat reaches the others.
         await asyncio.sleep(0.05)
         await cell.kill(owner)
         began = asyncio.get_running_loop().time()
-        await cell.submit(next(iter(cell.daemons)), ID, job())
-        await cell.until(ID, "complete")
+        await cell.submit(next(iter(cell.daemons)), JOB_ID, job())
+        await cell.wait_for_state(JOB_ID, "complete")
         assert cell.hosts.starts()[0].at - began < 1.2
 
-    scene(play)
+    run_scenario(scenario)
 
 
 def test_an_owner_that_stops_in_an_outage_holds_its_hosts_until_the_store_is_back():
-    # Trace: an owner stopped as the store fell silent; nobody could claim its pool,
-    # and 21 runs lapsed before the store was back.
-    async def play(cell):
+    # An owner stopped when the store became silent. No daemon could claim its pool, and
+    # the leases of 21 runs expired before the store answered again.
+    async def scenario(cell):
         for host in cell.hosts.hosts.values():
             host.work = 9.0
-        await cell.up("a", "b", "c")
-        await cell.submit("a", ID, job(step(6, estimate=9.0)))
+        await cell.start_daemons("a", "b", "c")
+        await cell.submit("a", JOB_ID, job(step(6, estimate=9.0)))
         await asyncio.sleep(0.5)
         cell.logs.faults.silent = True
         leaving = cell.daemons.pop(cell.owner())
@@ -172,15 +175,15 @@
         assert cell.owner() is not None
         await drain
         await leaving.close()
-        await cell.until(ID, "complete")
+        await cell.wait_for_state(JOB_ID, "complete")
         assert len(cell.hosts.starts()) == 6
 
-    scene(play)
+    run_scenario(scenario)
 
 
 def test_a_stop_in_an_outage_without_end_gives_the_pools_up_in_time():
-    async def play(cell):
-        await cell.up("a", "b")
+    async def scenario(cell):
+        await cell.start_daemons("a", "b")
         cell.logs.faults.silent = True
         leaving = cell.daemons.pop(cell.owner())
         began = asyncio.get_running_loop().time()
@@ -188,34 +191,34 @@
         assert asyncio.get_running_loop().time() - began < 3.5 + 1.3
         await leaving.close()
 
-    scene(play)
+    run_scenario(scenario)
 
 
 def test_a_daemon_that_starts_without_the_store_serves_by_way_of_its_peers():
-    # Load: a daemon that is killed and comes back while the store turns it away.
-    async def play(cell):
-        await cell.up("a", "b", "c")
-        young = next(name for name in "abc" if name != cell.owner())
-        await cell.kill(young)
-        cell.logs.faults.cut.add(young)
+    # A daemon is killed and restarts while the store rejects its calls.
+    async def scenario(cell):
+        await cell.start_daemons("a", "b", "c")
+        restarted = next(name for name in "abc" if name != cell.owner())
+        await cell.kill(restarted)
+        cell.logs.faults.cut.add(restarted)
         await asyncio.sleep(1.0)
-        cell.start(young)
+        cell.start(restarted)
         await asyncio.sleep(4.0)
-        assert cell.daemons[young].ready
-        reply = await cell.submit(young, ID, job())
+        assert cell.daemons[restarted].ready
+        reply = await cell.submit(restarted, JOB_ID, job())
         assert reply.kind == "ok"
-        await cell.until(ID, "complete")
+        await cell.wait_for_state(JOB_ID, "complete")
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_a_polite_stop_hands_over_while_the_store_is_slow():
-    # Load: a rolling stop while each answer of the store takes 0.4 s. The leaving
-    # owner works on until it has seen that the store answers; the next claim takes
-    # four calls, and waits for none of the last records.
-    async def play(cell):
-        await cell.up("a", "b", "c")
-        await cell.submit("a", ID, job(step(8)))
+def test_drained_owner_hands_over_with_slow_store():
+    # In a rolling restart, each answer of the store takes 0.4 s. The draining owner
+    # continues until it has seen one answer. The successor's claim takes four calls
+    # and must not wait for the former owner's last records.
+    async def scenario(cell):
+        await cell.start_daemons("a", "b", "c")
+        await cell.submit("a", JOB_ID, job(step(8)))
         await asyncio.sleep(0.1)
         cell.logs.faults.slow = 0.4
         leaving = cell.daemons.pop(cell.owner())
@@ -226,69 +229,69 @@
         assert cell.owner() is not None
         await drain
         await leaving.close()
-        await cell.until(ID, "complete")
+        await cell.wait_for_state(JOB_ID, "complete")
         assert len(cell.hosts.starts()) == 8
 
-    scene(play)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize("late", [-1.0, 0.3, 1.5, 3.0])
-def test_an_order_without_an_answer_never_starts_a_second_run(late):
-    async def play(cell):
-        await cell.up("a", "b")
+def test_unanswered_start_never_causes_second_run(late):
+    async def scenario(cell):
+        await cell.start_daemons("a", "b")
         for host in cell.hosts.hosts.values():
             host.mute_starts = 1
             host.late = late
-        await cell.submit("a", ID, job(step(3)))
-        await cell.until(ID, "complete")
+        await cell.submit("a", JOB_ID, job(step(3)))
+        await cell.wait_for_state(JOB_ID, "complete")
         await asyncio.sleep(5)
-        assert len(cell.check_never_twice()) == 3
+        assert len(cell.check_run_numbers()) == 3
         assert len(cell.hosts.starts()) == 3
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_a_start_without_an_answer_is_made_good_within_half_a_second():
-    # Load: orders that get no answer and are carried out seconds later.
-    async def play(cell):
-        await cell.up("a", "b")
+def test_unanswered_start_is_replaced_within_half_a_second():
+    # The starts get no answer and are executed by the hosts 3 s later.
+    async def scenario(cell):
+        await cell.start_daemons("a", "b")
         for host in cell.hosts.hosts.values():
             host.mute_starts = 1
             host.late = 3.0
         began = asyncio.get_running_loop().time()
-        await cell.submit("a", ID, job(step(1)))
-        starts = await cell.until_starts(1)
+        await cell.submit("a", JOB_ID, job(step(1)))
+        starts = await cell.wait_for_starts(1)
         assert starts[0].at - began < 0.5
-        await cell.until(ID, "complete")
+        await cell.wait_for_state(JOB_ID, "complete")
         await asyncio.sleep(4.0)
         assert len(cell.hosts.starts()) == 1
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_a_cut_off_host_runs_on_and_its_tasks_wait_for_the_lease():
-    async def play(cell):
+def test_task_of_unreachable_host_restarts_only_after_lease_expiry():
+    async def scenario(cell):
         for host in cell.hosts.hosts.values():
             host.work = 8.0
-        await cell.up("a", "b")
-        await cell.submit("a", ID, job(step(1)))
+        await cell.start_daemons("a", "b")
+        await cell.submit("a", JOB_ID, job(step(1)))
         await asyncio.sleep(0.5)
         first = cell.hosts.starts()[0]
         cut = cell.hosts.hosts[first.host]
         cut.silent = True
         cell.unlist(first.host)
-        second = (await cell.until_starts(2))[1]
+        second = (await cell.wait_for_starts(2))[1]
         assert second.host != first.host
         cut.advance()
         assert not cut.runs
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_an_end_that_only_a_successor_saw_is_kept_through_the_next_take_over():
-    async def play(cell):
-        await cell.up("a", "b", "c")
-        await cell.submit("a", ID, job(step(2), step(1, after=(0,))))
+def test_end_seen_only_by_successor_survives_next_takeover():
+    async def scenario(cell):
+        await cell.start_daemons("a", "b", "c")
+        await cell.submit("a", JOB_ID, job(step(2), step(1, after=(0,))))
         await asyncio.sleep(0.5)
         for host in cell.hosts.hosts.values():
             host.work = 30.0
@@ -296,19 +299,20 @@
         await asyncio.sleep(1.5)
         await cell.kill(cell.owner())
         cell.logs.faults.down = False
-        await cell.until_owned()
+        await cell.wait_for_owner()
         await cell.kill(cell.owner())
         cell.start("d")
         await asyncio.sleep(8.0)
         assert len(cell.hosts.starts()) == 3
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_an_owner_that_has_not_read_of_its_successor_begins_no_later_job():
-    # Trace: a slow owner stores a job for a caller after another has claimed.
-    async def play(cell):
-        await cell.up("a", "b")
+def test_superseded_owner_starts_no_job_stored_after_the_claim():
+    # A slow owner stores a job for a caller after another daemon's claim, which it has
+    # not read yet; only the new owner may start that job.
+    async def scenario(cell):
+        await cell.start_daemons("a", "b")
         old = cell.owner()
         new = next(name for name in cell.daemons if name != old)
         cell.network.faults.cut |= {(old, new), (new, old)}
@@ -318,44 +322,44 @@
                 break
             await asyncio.sleep(0.05)
         owner = cell.daemons[old].owners[POOL]
-        await cell.submit(old, ID, job())
-        assert ID not in owner.book.jobs
-        await cell.until_starts(1)
+        await cell.submit(old, JOB_ID, job())
+        assert JOB_ID not in owner.book.jobs
+        await cell.wait_for_starts(1)
         assert len(cell.hosts.starts()) == 1
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_everything_dies_right_after_an_acceptance():
-    async def play(cell):
-        await cell.up("a", "b", "c")
-        await cell.submit("a", ID, job(step(2)))
+def test_accepted_job_survives_crash_of_all_daemons():
+    async def scenario(cell):
+        await cell.start_daemons("a", "b", "c")
+        await cell.submit("a", JOB_ID, job(step(2)))
         for name in ("a", "b", "c"):
             await cell.kill(name)
-        await cell.up("a", "b", "c")
-        await cell.until(ID, "complete")
+        await cell.start_daemons("a", "b", "c")
+        await cell.wait_for_state(JOB_ID, "complete")
         assert len(cell.hosts.starts()) == 2
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_an_acceptance_without_an_answer_is_never_refused_as_not_run():
-    async def play(cell):
-        await cell.up("a", "b")
+def test_unanswered_job_append_is_never_reported_as_not_run():
+    async def scenario(cell):
+        await cell.start_daemons("a", "b")
         cell.logs.faults.lost_answers = 1
         cell.logs.faults.late = 0.5
-        reply = await cell.submit("a", ID, job())
+        reply = await cell.submit("a", JOB_ID, job())
         assert reply.kind in ("ok", "unknown")
-        await cell.until(ID, "complete")
+        await cell.wait_for_state(JOB_ID, "complete")
         assert len(cell.hosts.starts()) == 1
 
-    scene(play)
+    run_scenario(scenario)
 
 
 def test_a_store_that_is_down_refuses_at_once_and_accepted_work_goes_on():
-    async def play(cell):
-        await cell.up("a", "b")
-        await cell.submit("a", ID, job(step(1), step(1, after=(0,))))
+    async def scenario(cell):
+        await cell.start_daemons("a", "b")
+        await cell.submit("a", JOB_ID, job(step(1), step(1, after=(0,))))
         await asyncio.sleep(0.2)
         cell.logs.faults.down = True
         await asyncio.sleep(3.0)
@@ -364,21 +368,21 @@
         assert reply.kind == "not_now" and reply.retry_after > 0
         assert asyncio.get_running_loop().time() - began < 0.1
         assert len(cell.hosts.starts()) == 2
-        assert await cell.state("a", ID) == "active"
+        assert await cell.state("a", JOB_ID) == "active"
         cell.logs.faults.down = False
-        await cell.until(ID, "complete")
+        await cell.wait_for_state(JOB_ID, "complete")
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_callers_of_a_silent_store_are_refused_soon_and_served_once_it_is_back():
-    # Load: an outage of four seconds in which nothing is answered, and callers who
-    # come back every quarter of a second.
-    async def play(cell):
+def test_callers_are_refused_during_store_outage_and_served_soon_after():
+    # The store answers nothing for several seconds, while callers retry every 0.25 s.
+    # They must not wait for their whole deadline, nor be refused after its recovery.
+    async def scenario(cell):
         loop = asyncio.get_running_loop()
-        await cell.up("a", "b")
+        await cell.start_daemons("a", "b")
         cell.logs.faults.silent = True
-        first = asyncio.create_task(cell.submit("b", ID, job()))
+        first = asyncio.create_task(cell.submit("b", JOB_ID, job()))
         await asyncio.sleep(0.5)
         began = loop.time()
         reply = await cell.submit("b", "00000000000000bb", job())
@@ -390,40 +394,41 @@
         back = loop.time()
         while (await cell.submit("b", "00000000000000bb", job())).kind != "ok":
             await asyncio.sleep(0.25)
-        starts = await cell.until_starts(1)
+        starts = await cell.wait_for_starts(1)
         assert starts[0].at - back < 1.5
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_a_daemon_that_the_store_turns_away_accepts_by_way_of_another():
-    async def play(cell):
-        await cell.up("a", "b", "c")
+def test_daemon_cut_off_from_store_accepts_jobs_through_peer():
+    async def scenario(cell):
+        await cell.start_daemons("a", "b", "c")
         cell.logs.faults.cut.add("a")
         await asyncio.sleep(1.0)
-        reply = await cell.submit("a", ID, job())
+        reply = await cell.submit("a", JOB_ID, job())
         assert reply.kind == "ok"
-        await cell.until(ID, "complete")
+        await cell.wait_for_state(JOB_ID, "complete")
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_an_owner_that_the_store_turns_away_goes_on():
-    async def play(cell):
-        await cell.up("a", "b", "c")
+def test_owner_cut_off_from_store_completes_jobs():
+    async def scenario(cell):
+        await cell.start_daemons("a", "b", "c")
         cell.logs.faults.cut.add(cell.owner())
         await asyncio.sleep(1.0)
         other = next(n for n in cell.daemons if n != cell.owner())
-        await cell.submit(other, ID, job(step(2), step(1, after=(0,))))
-        await cell.until(ID, "complete", 8.0)
+        await cell.submit(other, JOB_ID, job(step(2), step(1, after=(0,))))
+        await cell.wait_for_state(JOB_ID, "complete", 8.0)
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_an_owner_that_the_store_turns_away_for_long_goes_on_without_pauses():
-    # Load: a store silent to the owner alone for many seconds, jobs all the while.
-    async def play(cell):
-        await cell.up("a", "b", "c")
+def test_owner_cut_off_from_store_for_long_starts_jobs_without_delay():
+    # For many seconds the store is unavailable to the owner alone, while jobs arrive;
+    # their starts must not be delayed.
+    async def scenario(cell):
+        await cell.start_daemons("a", "b", "c")
         owner = cell.owner()
         cell.logs.faults.cut.add(owner)
         await asyncio.sleep(3.0)
@@ -431,138 +436,139 @@
         for i in range(16):
             began = asyncio.get_running_loop().time()
             await cell.submit(other, f"{i:016x}", job())
-            starts = await cell.until_starts(i + 1)
+            starts = await cell.wait_for_starts(i + 1)
             assert starts[-1].at - began < 0.6
             await asyncio.sleep(0.4)
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_cancelled_work_is_stopped_and_nothing_of_it_starts():
-    async def play(cell):
-        await cell.up("a", "b")
-        await cell.submit("a", ID, job(step(2), step(2, after=(0,))))
+def test_cancelled_job_stops_its_runs_and_starts_no_more():
+    async def scenario(cell):
+        await cell.start_daemons("a", "b")
+        await cell.submit("a", JOB_ID, job(step(2), step(2, after=(0,))))
         await asyncio.sleep(0.3)
-        reply = await cell.daemons["b"].desk.cancel(ADVISED, ID, cell.deadline())
+        reply = await cell.daemons["b"].desk.cancel(ADVISED, JOB_ID, cell.deadline())
         assert reply.kind == "ok"
         await asyncio.sleep(4)
-        assert await cell.state("b", ID) == "cancelled"
+        assert await cell.state("b", JOB_ID) == "cancelled"
         assert len(cell.hosts.starts()) == 2
         assert not any(host.runs for host in cell.hosts.hosts.values())
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_starts_that_wait_behind_slow_answers_are_not_sent_after_a_cancel():
-    # Load: a wide step on one host whose answers are slow, cancelled meanwhile.
-    async def play(cell):
-        await cell.up("a")
+def test_queued_starts_are_dropped_after_cancel():
+    # A step of many tasks is cancelled while most of its starts wait for earlier
+    # commands to the same slow host.
+    async def scenario(cell):
+        await cell.start_daemons("a")
         host = cell.hosts.hosts["i-0"]
         host.mute_starts = 3
-        await cell.submit("a", ID, job(step(8)))
+        await cell.submit("a", JOB_ID, job(step(8)))
         await asyncio.sleep(0.1)
-        await cell.daemons["a"].desk.cancel(ADVISED, ID, cell.deadline())
+        await cell.daemons["a"].desk.cancel(ADVISED, JOB_ID, cell.deadline())
         await asyncio.sleep(4)
         assert not host.starts
         await cell.submit("a", "00000000000000bb", job(step(8)))
-        assert len(await cell.until_starts(8)) == 8
+        assert len(await cell.wait_for_starts(8)) == 8
 
-    scene(play, hosts=1)
+    run_scenario(scenario, hosts=1)
 
 
-def test_an_unknown_job_is_denied_only_on_fresh_records():
-    async def play(cell):
-        await cell.up("a", "b")
-        assert await cell.state("a", ID) == "no_job"
+def test_missing_job_is_reported_only_from_fresh_records():
+    async def scenario(cell):
+        await cell.start_daemons("a", "b")
+        assert await cell.state("a", JOB_ID) == "no_job"
         cell.logs.faults.down = True
         await asyncio.sleep(4)
-        assert await cell.state("a", ID) == "not_now"
+        assert await cell.state("a", JOB_ID) == "not_now"
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_a_job_that_fails_everywhere_ends_failed_after_its_attempts():
-    async def play(cell):
+def test_job_fails_after_its_last_attempt():
+    async def scenario(cell):
         for host in cell.hosts.hosts.values():
             host.how = EndKind.FAILED
             host.work = 0.2
-        await cell.up("a", "b")
-        await cell.submit("a", ID, job())
-        await cell.until(ID, "failed")
+        await cell.start_daemons("a", "b")
+        await cell.submit("a", JOB_ID, job())
+        await cell.wait_for_state(JOB_ID, "failed")
         assert len(cell.hosts.starts()) == 3
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_a_job_that_no_host_can_hold_is_refused_at_once():
-    async def play(cell):
-        await cell.up("a", "b")
-        reply = await cell.submit("a", ID, job(step(1, cpu_milli=64000)))
+def test_job_too_large_for_every_host_is_refused_at_once():
+    async def scenario(cell):
+        await cell.start_daemons("a", "b")
+        reply = await cell.submit("a", JOB_ID, job(step(1, cpu_milli=64000)))
         assert reply.kind == "never"
 
-    scene(play)
+    run_scenario(scenario)
 
 
 def test_a_draining_host_gets_no_new_work():
-    async def play(cell):
-        await cell.up("a", "b")
+    async def scenario(cell):
+        await cell.start_daemons("a", "b")
         for name in ("i-0", "i-1"):
             cell.drain(name)
         await asyncio.sleep(1.0)
-        await cell.submit("a", ID, job(step(5)))
-        await cell.until(ID, "complete")
+        await cell.submit("a", JOB_ID, job(step(5)))
+        await cell.wait_for_state(JOB_ID, "complete")
         assert {start.host for start in cell.hosts.starts()} == {"i-2"}
 
-    scene(play)
+    run_scenario(scenario)
 
 
 def test_a_gang_starts_together_or_not_at_all():
-    async def play(cell):
-        await cell.up("a", "b")
+    async def scenario(cell):
+        await cell.start_daemons("a", "b")
         big = step(1, cpu_milli=30000)
         await cell.submit("a", "00000000000000cc", job(big))
         await asyncio.sleep(0.3)
         gang = step(3, cpu_milli=30000, gang=True)
-        await cell.submit("a", ID, job(gang))
-        await cell.until(ID, "complete")
-        starts = [s for s in cell.hosts.starts() if s.task.job == ID]
+        await cell.submit("a", JOB_ID, job(gang))
+        await cell.wait_for_state(JOB_ID, "complete")
+        starts = [s for s in cell.hosts.starts() if s.task.job == JOB_ID]
         assert len(starts) == 3
         assert max(s.at for s in starts) - min(s.at for s in starts) < 0.1
 
-    scene(play)
+    run_scenario(scenario)
 
 
 def test_advised_steps_start_only_on_allowed_hosts():
-    async def play(cell):
+    async def scenario(cell):
         cell.advisor.denied = {"i-0", "i-2"}
-        await cell.up("a", "b")
+        await cell.start_daemons("a", "b")
         desk = cell.daemons["a"].desk
-        await desk.submit(ADVISED, ID, job(step(3)), cell.deadline())
-        await cell.until(ID, "complete")
+        await desk.submit(ADVISED, JOB_ID, job(step(3)), cell.deadline())
+        await cell.wait_for_state(JOB_ID, "complete")
         assert {s.host for s in cell.hosts.starts()} == {"i-1"}
 
-    scene(play)
+    run_scenario(scenario)
 
 
 def test_occurrences_start_when_they_are_due():
-    async def play(cell):
-        await cell.up("a", "b")
+    async def scenario(cell):
+        await cell.start_daemons("a", "b")
         first = asyncio.get_running_loop().time() + 1.0
         spec = job(step(1), occurrences=3, first=first, interval=2.0)
-        await cell.submit("a", ID, spec)
-        await cell.until(ID, "complete")
+        await cell.submit("a", JOB_ID, spec)
+        await cell.wait_for_state(JOB_ID, "complete")
         starts = cell.hosts.starts()
         assert [s.task.occurrence for s in starts] == [0, 1, 2]
         for start in starts:
             due = first + 2.0 * start.task.occurrence
             assert -0.25 <= start.at - due < 0.5
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_history_that_is_dropped_is_read_anew():
-    async def play(cell):
-        await cell.up("a", "b")
+def test_followers_recover_after_records_are_trimmed():
+    async def scenario(cell):
+        await cell.start_daemons("a", "b")
         cell.logs.faults.cut.update({"a", "b"})
         await asyncio.sleep(2.0)
         cell.add_host("i-9")
@@ -573,19 +579,19 @@
         for name in ("i-0", "i-1", "i-2"):
             cell.unlist(name)
         await asyncio.sleep(5.0)
-        await cell.submit("a", ID, job())
-        await cell.until(ID, "complete")
+        await cell.submit("a", JOB_ID, job())
+        await cell.wait_for_state(JOB_ID, "complete")
         assert cell.hosts.starts()[0].host == "i-9"
 
-    scene(play)
+    run_scenario(scenario)
 
 
 def test_a_host_that_begins_a_new_life_under_its_name_has_lost_its_work():
-    async def play(cell):
+    async def scenario(cell):
         for host in cell.hosts.hosts.values():
             host.work = 5.0
-        await cell.up("a", "b")
-        await cell.submit("a", ID, job())
+        await cell.start_daemons("a", "b")
+        await cell.submit("a", JOB_ID, job())
         await asyncio.sleep(0.5)
         host = cell.hosts.hosts[cell.hosts.starts()[0].host]
         host.runs.clear()
@@ -594,10 +600,10 @@
         host.born += 1
         await asyncio.sleep(3.0)
         assert len(cell.hosts.starts()) == 2
-        await cell.until(ID, "complete")
+        await cell.wait_for_state(JOB_ID, "complete")
 
-    scene(play)
+    run_scenario(scenario)
 
 
-def test_a_task_has_a_name_of_its_own():
+def test_task_ids_with_different_indices_differ():
     assert TaskId("a", 0, 1, 2) != TaskId("a", 0, 1, 3)
--- a/tests/work/test_follow.py
+++ b/tests/work/test_follow.py
@@ -1,4 +1,4 @@
-"""Following a topic through dropped history and stale answers, on a paused clock."""
+"""Following a topic through trimmed records and stale replies, on a paused clock."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class StaleStore(MemoryStore):
-    """Answers as if it were a while ago, for as long as ``behind`` is set."""
+    """A store that answers as it was ``behind`` records ago."""
 
     behind = 0
     calls = 0
@@ -31,9 +31,9 @@
         return NewestPage(page.items, page.more, page.end - self.behind)
 
 
-async def follow(store, seen, seconds):
+async def start_follower(store, seen, seconds):
     follower = Follower(
-        store, "t", lambda items, whole: seen.extend(item.key for item in items)
+        store, "t", lambda items, is_snapshot: seen.extend(item.key for item in items)
     )
     task = asyncio.create_task(follower.run())
     await asyncio.sleep(seconds)
@@ -41,23 +41,23 @@
 
 
 def test_records_are_applied_once_each_in_order():
-    async def play():
+    async def scenario():
         store, seen = MemoryStore(MemoryLogs()), []
         await store.append("t", [Record("a", b"1"), Record("b", b"1")])
-        _, task = await follow(store, seen, 1.0)
+        _, task = await start_follower(store, seen, 1.0)
         await store.append("t", [Record("c", b"1")])
         await asyncio.sleep(1.0)
         assert seen == ["a", "b", "c"]
         task.cancel()
 
-    run(play())
+    run(scenario())
 
 
-def test_stale_answers_never_take_a_reader_back_nor_make_it_spin():
-    async def play():
+def test_stale_replies_neither_rewind_follower_nor_cause_busy_loop():
+    async def scenario():
         store, seen = StaleStore(MemoryLogs()), []
         await store.append("t", [Record(k, b"1") for k in "abc"])
-        follower, task = await follow(store, seen, 1.0)
+        follower, task = await start_follower(store, seen, 1.0)
         store.behind, store.calls = 2, 0
         await asyncio.sleep(3.0)
         assert follower.next == 3 and seen == ["a", "b", "c"]
@@ -68,15 +68,15 @@
         assert seen[-1] == "d"
         task.cancel()
 
-    run(play())
+    run(scenario())
 
 
-def test_a_reader_whose_history_is_dropped_takes_the_newest_of_each_key():
-    async def play():
+def test_follower_reads_newest_of_each_key_after_trim():
+    async def scenario():
         logs = MemoryLogs()
         store, seen = MemoryStore(logs, "x"), []
         await store.append("t", [Record("a", b"1")])
-        _, task = await follow(store, seen, 1.0)
+        _, task = await start_follower(store, seen, 1.0)
         logs.faults.cut.add("x")
         await asyncio.sleep(2.5)
         logs.append("t", [Record("a", b"2"), Record("b", b"1")], None, None)
@@ -86,17 +86,17 @@
         assert seen[1:] == ["a", "b"]
         task.cancel()
 
-    run(play())
+    run(scenario())
 
 
-def test_an_error_of_who_takes_the_records_ends_the_follower():
-    # Trace: an owner read a later claim, took that for a fault of the store, read on,
-    # and had its right to act again at the next tick.
-    async def play():
+def test_error_from_apply_ends_follower():
+    # An owner that read a later claim treated the error as a fault of the store, read
+    # on, and was allowed to act again at its next tick.
+    async def scenario():
         store = MemoryStore(MemoryLogs())
         await store.append("t", [Record("a", b"1")])
 
-        def refuse(items, whole):
+        def refuse(items, is_snapshot):
             raise Deposed("a later claim", step="test")
 
         follower = Follower(store, "t", refuse)
@@ -104,14 +104,14 @@
             await follower.run()
         assert follower.confirmed_at < 0
 
-    run(play())
+    run(scenario())
 
 
-def test_a_nudge_asks_anew_at_once_and_loses_nothing():
-    async def play():
+def test_nudge_restarts_read_at_once_and_loses_no_record():
+    async def scenario():
         logs = MemoryLogs()
         store, seen = MemoryStore(logs, "me"), []
-        follower, task = await follow(store, seen, 0.5)
+        follower, task = await start_follower(store, seen, 0.5)
         logs.faults.deaf.add("me")
         await asyncio.sleep(1.2)
         logs.faults.deaf.clear()
@@ -122,4 +122,4 @@
         task.cancel()
         follower.nudge()
 
-    run(play())
+    run(scenario())
