--- a/siskinroad/work/relay.py
+++ b/siskinroad/work/relay.py
@@ -1,11 +1,11 @@
-"""Store calls by way of another daemon, for one that does not reach the store.
-
-The store may turn some daemons away, or be cut off from them, while it serves
-the others. A call that did nothing here is tried once more through a daemon that
-the store has answered of late, and while that lasts, all calls go that way at once:
-waiting for the own timeout each time would leave an owner deaf half of the time. A
-call that may have been carried out is repeated only where that is harmless: reads,
-and appends that carry a fence.
+"""Store client that falls back to calls relayed by another daemon.
+
+The store may reject some daemons, or be unreachable from them, while it serves the
+others. A call that failed here without effect is retried once through a daemon that
+the store has answered recently. While direct calls fail, all calls are relayed at
+once: waiting for the direct call's timeout first would leave an owner without replies
+half of the time. A call whose outcome is unknown is repeated only if that is harmless:
+reads, and appends that carry a fence.
 """
 
 from __future__ import annotations
@@ -36,13 +36,13 @@
 
 __all__ = ["RelayStore"]
 
-# Seconds between two looks whether the store answers this daemon again.
-PROBE_TIME = 1.0
-# Seconds without an answer that count as a silence: a read that waits a second is
-# always on its way.
-SILENCE = 1.4
-# Seconds that the way to the other daemon and back may add.
-RELAY_TIME = 0.3
+# Seconds between two probes of whether the store answers direct calls again.
+PROBE_INTERVAL = 1.0
+# Seconds without a direct reply that count as an outage. A read that waits up to 1 s
+# is always in progress, so a shorter limit would report outages that did not happen.
+SILENCE_TIMEOUT = 1.4
+# Seconds that the round trip to the relaying daemon may add to a call's timeout.
+RELAY_ALLOWANCE = 0.3
 
 log = logging.getLogger("siskinroad.relay")
 T = TypeVar("T")
@@ -83,7 +83,7 @@
     end: int
 
 
-class _Moved(msgspec.Struct, tag="moved", frozen=True):
+class _TailMoved(msgspec.Struct, tag="moved", frozen=True):
     end: int
 
 
@@ -95,55 +95,57 @@
     first: int
 
 
-_Call = _Append | _Read | _Newest
-_Answer = _Offset | _Records | _Page | _Moved | _Fenced | _Trimmed
+_StoreCall = _Append | _Read | _Newest
+_StoreResult = _Offset | _Records | _Page | _TailMoved | _Fenced | _Trimmed
 
 _ENCODE = msgspec.msgpack.Encoder().encode
-_CALL = msgspec.msgpack.Decoder(_Call)
-_ANSWER = msgspec.msgpack.Decoder(_Answer)
+_CALL_DECODER = msgspec.msgpack.Decoder(_StoreCall)
+_RESULT_DECODER = msgspec.msgpack.Decoder(_StoreResult)
 
 
 class RelayStore(Store):
-    """The store, directly or by way of another daemon.
+    """Store client that calls the store directly or through another daemon.
 
     Parameters
     ----------
     direct : Store
-        The store as this daemon reaches it.
-    helpers : callable
-        Returns the living daemons that the store answered of late.
+        Client for direct calls to the store.
+    calls : Calls
+        Requests to the other daemons.
+    relay_peers : callable
+        Returns the live daemons that the store has answered recently.
 
     Attributes
     ----------
     answered_at : float
-        Loop time of the store's last direct answer.
-    relayed_at : float
-        Loop time of its last answer by way of another daemon.
+        Loop time in seconds of the store's last direct reply.
+    relayed_answer_at : float
+        Loop time in seconds of the store's last relayed reply.
     returned : callable
-        Called when the store answers again after a silence.
-    relayed : int
-        Calls that went by way of another daemon.
+        Called at the first direct reply after an outage.
+    relayed_calls : int
+        Number of calls sent through another daemon.
     """
 
     def __init__(
-        self, direct: Store, calls: Calls, helpers: Callable[[], list[str]]
+        self, direct: Store, calls: Calls, relay_peers: Callable[[], list[str]]
     ) -> None:
         self.direct = direct
         self._calls = calls
-        self._helpers = helpers
-        self._turned_away = False
-        self._next_probe = -1e9
-        self._probes: set[asyncio.Task[None]] = set()
-        self._turn = 0
+        self._relay_peers = relay_peers
+        self._direct_failed = False
+        self._next_probe_at = -1e9
+        self._probe_tasks: set[asyncio.Task[None]] = set()
+        self._relay_turn = 0
         self.answered_at = -1e9
-        self.relayed_at = -1e9
+        self.relayed_answer_at = -1e9
         self.returned: Callable[[], None] = lambda: None
-        self.relayed = 0
+        self.relayed_calls = 0
 
     @property
     def heard_at(self) -> float:
-        """Loop time of the store's last answer by any way."""
-        return max(self.answered_at, self.relayed_at)
+        """Loop time in seconds of the store's last reply, direct or relayed."""
+        return max(self.answered_at, self.relayed_answer_at)
 
     async def append(
         self,
@@ -155,9 +157,9 @@
         timeout: float = 1.0,
     ) -> int:
         """Append records; see the base class."""
-        parts = (fence.producer, fence.epoch, fence.sequence) if fence else None
-        call = _Append(topic, records, at, parts)
-        answer = await self._call(
+        fence_fields = (fence.producer, fence.epoch, fence.sequence) if fence else None
+        call = _Append(topic, records, at, fence_fields)
+        answer = await self._call_store(
             call,
             timeout,
             lambda: self.direct.append(
@@ -172,7 +174,7 @@
         self, topic: str, start: int, *, wait: float, timeout: float = 1.0
     ) -> Tail:
         """Read records; see the base class."""
-        answer = await self._call(
+        answer = await self._call_store(
             _Read(topic, start, wait),
             timeout,
             lambda: self.direct.read(topic, start, wait=wait, timeout=timeout),
@@ -186,8 +188,8 @@
     async def newest(
         self, topic: str, after: str = "", *, timeout: float = 1.0
     ) -> NewestPage:
-        """Return the newest records; see the base class."""
-        answer = await self._call(
+        """Return the newest record of each key; see the base class."""
+        answer = await self._call_store(
             _Newest(topic, after),
             timeout,
             lambda: self.direct.newest(topic, after, timeout=timeout),
@@ -199,123 +201,142 @@
         return answer
 
     async def close(self) -> None:
-        """Release connections."""
+        """Close the connections to the store."""
         await self.direct.close()
 
-    async def _call(
+    async def _call_store(
         self,
-        call: _Call,
+        call: _StoreCall,
         timeout: float,
         direct: Callable[[], Awaitable[T]],
-        kind: type[A],
+        result_type: type[A],
         *,
         repeatable: bool,
     ) -> T | A:
-        helpers = self._helpers()
-        unknown: SiskinroadError | None = None
-        if not helpers or not self._turned_away:
+        relay_peers = self._relay_peers()
+        unknown_outcome: SiskinroadError | None = None
+        if not relay_peers or not self._direct_failed:
             try:
-                return await self._directly(direct)
+                return await self._call_direct(direct)
             except StoreUnavailableError:
-                if not helpers:
+                if not relay_peers:
                     raise
             except StoreUnknownError as exc:
-                if not helpers or not repeatable:
+                if not relay_peers or not repeatable:
                     raise
-                unknown = exc
+                unknown_outcome = exc
         elif repeatable:
-            self._probe(direct)
-        return await self._relay(call, timeout, kind, helpers, unknown)
+            self._probe_direct(direct)
+        return await self._call_through_peer(
+            call, timeout, result_type, relay_peers, unknown_outcome
+        )
 
-    async def _directly(self, direct: Callable[[], Awaitable[T]]) -> T:
-        """Make a call, and note whether the store answers this daemon."""
+    async def _call_direct(self, direct: Callable[[], Awaitable[T]]) -> T:
+        """Make a direct call and record whether the store answered it."""
         try:
             answer = await direct()
         except (TailMovedError, FencedError, TrimmedError):
             self.answered()
             raise
         except SiskinroadError:
-            self._turned_away = True
+            self._direct_failed = True
             raise
         self.answered()
         return answer
 
     def answered(self) -> None:
-        """Note that the store has answered this daemon directly."""
-        self._turned_away = False
+        """Record a direct reply of the store; call ``returned`` after an outage."""
+        self._direct_failed = False
         now = asyncio.get_running_loop().time()
-        before = self.answered_at
+        previous_answer_at = self.answered_at
         self.answered_at = now
-        if before > 0 and now - before > SILENCE:
+        if previous_answer_at > 0 and now - previous_answer_at > SILENCE_TIMEOUT:
             self.returned()
 
-    def _probe(self, direct: Callable[[], Awaitable[T]]) -> None:
-        """Find out beside the relayed calls when the store answers again.
+    def _probe_direct(self, direct: Callable[[], Awaitable[T]]) -> None:
+        """Start a direct call in the background to detect that the store answers again.
 
-        The call is one whose repetition is harmless; its answer is not used.
+        The same call is relayed too, so it must be harmless to repeat; the probe's
+        result is discarded.
         """
         loop = asyncio.get_running_loop()
-        if loop.time() < self._next_probe:
+        if loop.time() < self._next_probe_at:
             return
-        self._next_probe = loop.time() + PROBE_TIME
+        self._next_probe_at = loop.time() + PROBE_INTERVAL
 
         async def probe() -> None:
             try:
-                await self._directly(direct)
+                await self._call_direct(direct)
             except SiskinroadError as exc:
-                log.debug("relay: still turned away", extra={"error": str(exc)})
+                log.debug(
+                    "relay: direct store call still fails", extra={"error": str(exc)}
+                )
 
         task = loop.create_task(probe())
-        self._probes.add(task)
-        task.add_done_callback(self._probes.discard)
+        self._probe_tasks.add(task)
+        task.add_done_callback(self._probe_tasks.discard)
 
-    async def _relay(
+    async def _call_through_peer(
         self,
-        call: _Call,
+        call: _StoreCall,
         timeout: float,
-        kind: type[A],
-        helpers: list[str],
-        unknown: SiskinroadError | None,
+        result_type: type[A],
+        relay_peers: list[str],
+        unknown_outcome: SiskinroadError | None,
     ) -> A:
-        self._turn += 1
-        self.relayed += 1
-        helper = helpers[self._turn % len(helpers)]
+        self._relay_turn += 1
+        self.relayed_calls += 1
+        relay_peer = relay_peers[self._relay_turn % len(relay_peers)]
         data = _ENCODE(call)
         log.info(
-            "relay: store call goes by way of a peer",
-            extra={"peer": helper, "call": type(call).__name__.strip("_").lower()},
+            "relay: sending store call through a peer",
+            extra={"peer": relay_peer, "call": type(call).__name__.strip("_").lower()},
         )
         try:
             reply = await self._calls.ask(
-                helper,
-                lambda n: RelayRequest(n, data, timeout),
+                relay_peer,
+                lambda request_id: RelayRequest(request_id, data, timeout),
                 RelayReply,
-                timeout + RELAY_TIME,
+                timeout + RELAY_ALLOWANCE,
             )
         except SiskinroadError as exc:
-            raise StoreUnknownError(str(exc), step="relay", peer=helper) from exc
-        if reply.outcome == "not done" and unknown is None:
-            raise StoreUnavailableError("not done", step="relay", peer=helper)
+            raise StoreUnknownError(str(exc), step="relay", peer=relay_peer) from exc
+        if reply.outcome == "not done" and unknown_outcome is None:
+            raise StoreUnavailableError(
+                "relaying daemon's store call failed without effect",
+                step="relay",
+                peer=relay_peer,
+            )
         if reply.outcome != "answered":
-            raise StoreUnknownError(reply.outcome, step="relay", peer=helper)
-        self.relayed_at = asyncio.get_running_loop().time()
-        answer = _ANSWER.decode(reply.answer)
+            raise StoreUnknownError(reply.outcome, step="relay", peer=relay_peer)
+        self.relayed_answer_at = asyncio.get_running_loop().time()
+        answer = _RESULT_DECODER.decode(reply.answer)
         match answer:
-            case _Moved(end=end):
+            case _TailMoved(end=end):
                 raise TailMovedError(end)
             case _Fenced():
-                raise FencedError("lower epoch", step="store.append")
+                raise FencedError(
+                    "append has a lower epoch than the store has seen",
+                    step="store.append",
+                )
             case _Trimmed(first=first):
                 raise TrimmedError(first)
-        if not isinstance(answer, kind):
-            raise StoreUnknownError("other answer", step="relay", peer=helper)
+        if not isinstance(answer, result_type):
+            raise StoreUnknownError(
+                "relayed reply does not match the type of the call",
+                step="relay",
+                peer=relay_peer,
+            )
         return answer
 
     async def serve(self, msg: RelayRequest) -> RelayReply:
-        """Make a call for another daemon, directly and only so."""
+        """Carry out another daemon's store call.
+
+        The call is made directly and never relayed further.
+        """
         try:
-            call = _CALL.decode(msg.call)
-            answer = await self._make(call, msg.timeout)
+            call = _CALL_DECODER.decode(msg.call)
+            answer = await self._execute(call, msg.timeout)
         except (StoreUnavailableError, msgspec.MsgspecError):
             return RelayReply(msg.id, "not done", b"")
         except StoreUnknownError:
@@ -323,11 +344,11 @@
         self.answered()
         return RelayReply(msg.id, "answered", _ENCODE(answer))
 
-    async def _make(self, call: _Call, timeout: float) -> _Answer:
+    async def _execute(self, call: _StoreCall, timeout: float) -> _StoreResult:
         try:
             match call:
-                case _Append(topic=topic, records=records, at=at, fence=parts):
-                    fence = Fence(*parts) if parts else None
+                case _Append(topic=topic, records=records, at=at, fence=fence_fields):
+                    fence = Fence(*fence_fields) if fence_fields else None
                     offset = await self.direct.append(
                         topic, records, at=at, fence=fence, timeout=timeout
                     )
@@ -341,7 +362,7 @@
                     page = await self.direct.newest(topic, after, timeout=timeout)
                     return _Page(page.items, page.more, page.end)
         except TailMovedError as exc:
-            return _Moved(exc.end)
+            return _TailMoved(exc.end)
         except FencedError:
             return _Fenced()
         except TrimmedError as exc:
--- a/siskinroad/work/store.py
+++ b/siskinroad/work/store.py
@@ -1,4 +1,4 @@
-"""The platform's store as the product needs it: logs with the newest of each key."""
+"""Interface to the platform's store: logs of keyed records."""
 
 from __future__ import annotations
 
@@ -26,42 +26,47 @@
 
 
 class StoreUnavailableError(SiskinroadError):
-    """The store did nothing."""
+    """The call failed and the store did not carry it out."""
 
 
 class StoreUnknownError(SiskinroadError):
-    """The store may have carried the call out, or may yet do so."""
+    """The outcome of the call is unknown: it may have taken effect, or may yet."""
 
 
 class FencedError(SiskinroadError):
-    """A producer with a higher epoch has taken the partition over."""
+    """The append was rejected because a higher epoch of the producer was seen."""
 
 
 class TailMovedError(SiskinroadError):
-    """The partition no longer ends where the append required it to."""
+    """The partition does not end at the offset that the append required."""
 
     def __init__(self, end: int, *, step: str = "store.append") -> None:
-        super().__init__(f"the log ends at {end}", step=step)
+        super().__init__(
+            f"log ends at offset {end}, not at the required offset", step=step
+        )
         self.end = end
 
 
 class TrimmedError(SiskinroadError):
-    """Records before ``first`` are no longer retained."""
+    """The requested offset is below ``first``, the lowest one retained."""
 
     def __init__(self, first: int) -> None:
-        super().__init__(f"the log starts at {first}", step="store.read")
+        super().__init__(
+            f"requested offset is no longer retained; log starts at offset {first}",
+            step="store.read",
+        )
         self.first = first
 
 
 class Record(msgspec.Struct, frozen=True):
-    """A keyed record; an empty ``value`` drops the key."""
+    """A keyed record; an empty ``value`` deletes the key."""
 
     key: str
     value: bytes
 
 
 class Newest(msgspec.Struct, frozen=True):
-    """The newest record of a key."""
+    """The newest record of a key, with its offset."""
 
     key: str
     value: bytes
@@ -70,7 +75,17 @@
 
 @dataclass(slots=True, frozen=True)
 class NewestPage:
-    """The newest records of some keys, in the order of the keys."""
+    """One page of the newest records, sorted by key.
+
+    Attributes
+    ----------
+    items : tuple of Newest
+        The newest record of each key of the page.
+    more : bool
+        Whether further keys follow the last one of ``items``.
+    end : int
+        Offset that the next append got when the page was read.
+    """
 
     items: tuple[Newest, ...]
     more: bool
@@ -79,12 +94,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Tail:
-    """Records from an offset on.
+    """The records that a read returned.
 
     Attributes
     ----------
-    start, end : int
-        Offset of the first of ``records``, and offset that the next append gets.
+    start : int
+        Offset of the first of ``records``.
+    records : tuple of Record
+        Consecutive records from ``start``.
+    end : int
+        Offset that the next append gets.
     """
 
     start: int
@@ -93,16 +112,16 @@
 
     @property
     def next(self) -> int:
-        """Offset after the last of ``records``."""
+        """The offset after the last of ``records``, where the next read starts."""
         return self.start + len(self.records)
 
 
 @dataclass(slots=True, frozen=True)
 class Fence:
-    """A producer's epoch and the number of its append.
+    """A producer's fencing epoch and the sequence number of its append.
 
-    Lower epochs are rejected by the partition from the first append on, and a
-    repeated append takes effect once.
+    From the first append with an epoch on, the partition rejects lower epochs of the
+    producer. An append repeated with the same epoch and number takes effect once.
     """
 
     producer: str
@@ -113,8 +132,8 @@
 class Store(ABC):
     """Named partitions of keyed records.
 
-    Every method raises ``StoreUnavailableError`` where nothing was done and
-    ``StoreUnknownError`` where that is not certain.
+    Every method raises ``StoreUnavailableError`` if the call had no effect, and
+    ``StoreUnknownError`` if its outcome is unknown. Timeouts are in seconds.
     """
 
     @abstractmethod
@@ -127,28 +146,29 @@
         fence: Fence | None = None,
         timeout: float = 1.0,
     ) -> int:
-        """Append records, all or none, and return the offset of the first.
+        """Append all records or none, and return the offset of the first.
 
         Parameters
         ----------
         at : int, optional
-            Append only if the partition ends at this offset.
+            Append only if the next offset of the partition is this one.
         fence : Fence, optional
-            The producer's epoch and sequence number.
+            The producer's epoch and sequence number, against appends of an earlier
+            owner and against duplicates.
 
         Raises
         ------
         TailMovedError
-            The partition ends elsewhere.
+            If the partition does not end at ``at``.
         FencedError
-            A higher epoch was seen.
+            If the partition has seen a higher epoch of the producer.
         """
 
     @abstractmethod
     async def read(
         self, topic: str, start: int, *, wait: float, timeout: float = 1.0
     ) -> Tail:
-        """Return records from ``start`` on, waiting up to ``wait`` seconds for one.
+        """Return the records from ``start`` on; wait up to ``wait`` seconds for one.
 
         Raises
         ------
@@ -160,17 +180,18 @@
     async def newest(
         self, topic: str, after: str = "", *, timeout: float = 1.0
     ) -> NewestPage:
-        """Return a page of the newest record of each key behind ``after``."""
+        """Return a page of the newest record of each key that sorts after ``after``."""
 
     async def close(self) -> None:
-        """Release connections."""
+        """Close the connections to the store."""
         return None
 
 
 async def newest_of_all(store: Store, topic: str, timeout: float) -> NewestPage:
-    """Return the newest record of every key; ``end`` is that of the first page.
+    """Return the newest record of every key, with the ``end`` of the first page.
 
-    The pages are no snapshot: records at or behind ``end`` must be read again.
+    The pages are read one after another and are not a snapshot: the caller must read
+    the records from offset ``end`` on again.
     """
     page = await store.newest(topic, timeout=timeout)
     items = list(page.items)
--- a/siskinroad/work/store_memory.py
+++ b/siskinroad/work/store_memory.py
@@ -1,4 +1,4 @@
-"""An in-memory twin of the store, with faults on request."""
+"""In-memory implementation of the store with injectable faults."""
 
 from __future__ import annotations
 
@@ -24,24 +24,25 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """Faults in force.
+    """Faults to inject into store calls.
 
     Attributes
     ----------
     down : bool
-        No call is sent, and all of them say so.
+        Every call fails without effect, with ``StoreUnavailableError``.
     silent : bool
-        Nothing is answered or done, and no call can say so.
+        Every call goes unanswered and has no effect, and ends with
+        ``StoreUnknownError``.
     slow : float
-        Seconds that every call takes.
+        Delay of every call in seconds.
     lost_answers : int
-        So many of the next appends take effect without an answer.
+        Number of further appends that take effect without a reply.
     late : float
-        Seconds after which an append without an answer takes effect.
+        Seconds after which an append without a reply takes effect.
     cut : set of str
-        Clients that cannot reach the store.
+        Names of the clients that cannot reach the store.
     deaf : set of str
-        Clients whose reads get no answer, while their appends take effect.
+        Names of the clients whose reads get no reply, while their appends succeed.
     """
 
     down: bool = False
@@ -68,7 +69,15 @@
 
 @dataclass(slots=True)
 class MemoryLogs:
-    """The topics that all clients share."""
+    """Topics shared by all clients.
+
+    Attributes
+    ----------
+    changed : asyncio.Event
+        Set at the next append to any topic, then replaced by a new event.
+    page : int
+        Largest number of keys in one page of the newest records.
+    """
 
     faults: StoreFaults = field(default_factory=StoreFaults)
     topics: dict[str, _Topic] = field(default_factory=dict)
@@ -76,21 +85,24 @@
     page: int = 500
 
     def topic(self, name: str) -> _Topic:
-        """Return a topic, made on first use."""
+        """Return a topic; create it on first use."""
         return self.topics.setdefault(name, _Topic())
 
     def append(
         self, name: str, records: list[Record], at: int | None, fence: Fence | None
     ) -> int:
-        """Append at once, without faults."""
+        """Append records immediately, without injected faults."""
         topic = self.topic(name)
         if fence is not None:
-            known = topic.epochs.get(fence.producer, -1)
-            if fence.epoch < known:
-                raise FencedError("lower epoch", step="store.append")
+            highest_epoch = topic.epochs.get(fence.producer, -1)
+            if fence.epoch < highest_epoch:
+                raise FencedError(
+                    "append has a lower epoch than the store has seen",
+                    step="store.append",
+                )
             topic.epochs[fence.producer] = fence.epoch
-            last = topic.sequences.get(fence.producer)
-            if last == (fence.epoch, fence.sequence):
+            last_append = topic.sequences.get(fence.producer)
+            if last_append == (fence.epoch, fence.sequence):
                 return topic.end
             topic.sequences[fence.producer] = (fence.epoch, fence.sequence)
         if at is not None and at != topic.end:
@@ -106,19 +118,21 @@
         return offset
 
     def trim(self, name: str) -> None:
-        """Drop the history of a topic; the newest of each key stays."""
+        """Drop all records of a topic, but keep the newest of each key."""
         topic = self.topic(name)
         topic.first = topic.end
         topic.records.clear()
 
 
 class MemoryStore(Store):
-    """One client's view of ``MemoryLogs``.
+    """Store client on shared ``MemoryLogs``.
 
     Parameters
     ----------
+    logs : MemoryLogs
+        The topics, and the faults in force.
     client : str
-        Name by which faults cut this client off.
+        Name by which ``StoreFaults.cut`` and ``StoreFaults.deaf`` select this client.
     """
 
     def __init__(self, logs: MemoryLogs, client: str = "") -> None:
@@ -135,17 +149,17 @@
         timeout: float = 1.0,
     ) -> int:
         """Append records; see the base class."""
-        await self._reach(timeout)
+        await self._simulate_delay(timeout)
         faults = self.logs.faults
         if faults.lost_answers <= 0:
             return self.logs.append(topic, records, at, fence)
         faults.lost_answers -= 1
         loop = asyncio.get_running_loop()
-        loop.call_later(faults.late, self._late, topic, records, at, fence)
+        loop.call_later(faults.late, self._append_late, topic, records, at, fence)
         await asyncio.sleep(timeout)
-        raise StoreUnknownError("no answer", step="store.append")
+        raise StoreUnknownError("no reply within the timeout", step="store.append")
 
-    def _late(
+    def _append_late(
         self, topic: str, records: list[Record], at: int | None, fence: Fence | None
     ) -> None:
         try:
@@ -157,23 +171,23 @@
         self, topic: str, start: int, *, wait: float, timeout: float = 1.0
     ) -> Tail:
         """Read records; see the base class."""
-        await self._reach(timeout)
+        await self._simulate_delay(timeout)
         if self.client in self.logs.faults.deaf:
             await asyncio.sleep(timeout)
-            raise StoreUnknownError("no answer", step="store.read")
+            raise StoreUnknownError("no reply within the timeout", step="store.read")
         log = self.logs.topic(topic)
-        until = asyncio.get_running_loop().time() + wait
+        deadline = asyncio.get_running_loop().time() + wait
         while start >= log.end:
-            left = until - asyncio.get_running_loop().time()
-            if left <= 0:
+            remaining = deadline - asyncio.get_running_loop().time()
+            if remaining <= 0:
                 break
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining):
                     await self.logs.changed.wait()
             except TimeoutError:
                 break
-            await self._check_reach(timeout)
-        await self._check_reach(timeout)
+            await self._raise_if_unreachable(timeout)
+        await self._raise_if_unreachable(timeout)
         if start < log.first:
             raise TrimmedError(log.first)
         return Tail(start, tuple(log.records[start - log.first :]), log.end)
@@ -181,22 +195,22 @@
     async def newest(
         self, topic: str, after: str = "", *, timeout: float = 1.0
     ) -> NewestPage:
-        """Return the newest records; see the base class."""
-        await self._reach(timeout)
+        """Return the newest record of each key; see the base class."""
+        await self._simulate_delay(timeout)
         log = self.logs.topic(topic)
         keys = sorted(key for key in log.newest if key > after)
-        shown = keys[: self.logs.page]
-        items = tuple(log.newest[key] for key in shown)
-        return NewestPage(items, len(shown) < len(keys), log.end)
+        page_keys = keys[: self.logs.page]
+        items = tuple(log.newest[key] for key in page_keys)
+        return NewestPage(items, len(page_keys) < len(keys), log.end)
 
-    async def _reach(self, timeout: float) -> None:
+    async def _simulate_delay(self, timeout: float) -> None:
         await asyncio.sleep(self.logs.faults.slow)
-        await self._check_reach(timeout)
+        await self._raise_if_unreachable(timeout)
 
-    async def _check_reach(self, timeout: float) -> None:
+    async def _raise_if_unreachable(self, timeout: float) -> None:
         if self.logs.faults.down or self.client in self.logs.faults.cut:
             await asyncio.sleep(timeout)
             raise StoreUnavailableError("unreachable", step="store")
         if self.logs.faults.silent:
             await asyncio.sleep(timeout)
-            raise StoreUnknownError("no answer", step="store")
+            raise StoreUnknownError("no reply within the timeout", step="store")
