--- a/siskinroad/work/hosts.py
+++ b/siskinroad/work/hosts.py
@@ -1,4 +1,4 @@
-"""The upstream hosts as an owner speaks to them."""
+"""Interface to the upstream hosts: commands, replies and host reports."""
 
 from __future__ import annotations
 
@@ -22,7 +22,11 @@
 
 
 class EndKind(StrEnum):
-    """How a run ended."""
+    """How a run ended.
+
+    ``LAPSED``: the host's lease expired. Only ``FAILED`` counts as a failure of the
+    task.
+    """
 
     DONE = "done"
     FAILED = "failed"
@@ -33,13 +37,14 @@
 
 
 class Rejection(StrEnum):
-    """Why a host did nothing.
-
-    ``FENCED``: it has seen a higher token. ``OLD``: it has stopped or ended this
-    run or a later one. ``LATE``: the lease that the order carried has passed.
-    ``ROOM``: it has no room. ``TICKET``: the ticket is missing or has expired.
-    ``OTHER_LIFE``: another incarnation answers at the address. ``UNWELL``: it
-    takes nothing now. ``INVALID``: it cannot read the order.
+    """Why a host rejected a command.
+
+    ``FENCED``: it has seen a higher fencing token. ``OLD``: it has stopped or ended
+    this run or a later one. ``LATE``: the lease in the command has expired.
+    ``ROOM``: it lacks free capacity. ``TICKET``: the ticket is missing or has
+    expired. ``OTHER_LIFE``: another incarnation of the host replied at the address.
+    ``UNWELL``: it accepts no work at present. ``INVALID``: it cannot decode the
+    command.
     """
 
     FENCED = "fenced"
@@ -54,7 +59,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Order:
-    """An order about one run of a task, under the owner's token for the host."""
+    """A command about one run of a task.
+
+    Attributes
+    ----------
+    token : int
+        The owner's fencing token for the host.
+    run : int
+        Number of the run; rises with every start of the task.
+    """
 
     host: str
     address: str
@@ -65,12 +78,16 @@
 
 @dataclass(slots=True, frozen=True)
 class StartOrder(Order):
-    """Start a run.
+    """A command to start a run.
 
     Attributes
     ----------
     lease_until : int
-        Milliseconds on the host's clock until which all that runs there may run.
+        Time on the host's clock in milliseconds until which its runs may continue.
+    checkpoint : str
+        Checkpoint to resume from; empty for none.
+    ticket : str
+        The advisor's permission for this host; empty if the queue needs none.
     """
 
     payload: str
@@ -81,7 +98,17 @@
 
 @dataclass(slots=True, frozen=True)
 class HostAnswer:
-    """A whole answer to an order; ``rejection`` is None if it was carried out."""
+    """A complete reply to a command.
+
+    Attributes
+    ----------
+    rejection : Rejection or None
+        None if the command was carried out.
+    clock : int or None
+        The host's own clock in milliseconds, if the reply gives it.
+    born : int or None
+        Unix time in milliseconds at which the host's incarnation began, if given.
+    """
 
     rejection: Rejection | None
     clock: int | None
@@ -90,15 +117,15 @@
 
 @dataclass(slots=True, frozen=True)
 class Running:
-    """A run that a host lists.
+    """A run that a host reports as running.
 
     Attributes
     ----------
     progress : int
-        Percent; a long-running task is at work at 100.
+        Percent done; a long-running task is up and working at 100.
     usage : int
-        Tail in milliseconds of a serving task, thousandths of a processor of
-        any other.
+        For a serving task, its tail latency in milliseconds; for any other,
+        thousandths of a processor in use.
     """
 
     task: TaskId
@@ -110,7 +137,13 @@
 
 @dataclass(slots=True, frozen=True)
 class Ended:
-    """An end that a host lists until it is acknowledged; ``number`` rises."""
+    """The end of a run, reported by its host until acknowledged.
+
+    Attributes
+    ----------
+    number : int
+        Rises with each end on the host; acknowledgements refer to it.
+    """
 
     number: int
     task: TaskId
@@ -121,14 +154,14 @@
 
 @dataclass(slots=True, frozen=True)
 class HostReport:
-    """All that a host runs, and the ends that nobody has acknowledged.
+    """All runs of a host, and the ends of runs not yet acknowledged.
 
     Attributes
     ----------
     clock : int
         The host's own clock in milliseconds.
     born : int
-        Unix milliseconds at which this life of the host began.
+        Unix time in milliseconds at which this incarnation of the host began.
     """
 
     clock: int
@@ -138,23 +171,23 @@
 
 
 class HostLink(ABC):
-    """Sends orders to hosts.
+    """Client that sends commands to hosts.
 
     Every method raises ``NotSentError`` if nothing was sent and
-    ``OutcomeUnknownError`` if the order may yet be carried out.
+    ``OutcomeUnknownError`` if the command may have been or may yet be carried out.
     """
 
     @abstractmethod
     async def start(self, order: StartOrder) -> HostAnswer:
-        """Start a run; also accepted if the run is there already."""
+        """Start a run; succeed too if the host already has this run."""
 
     @abstractmethod
     async def stop(self, order: Order) -> HostAnswer:
-        """Stop a run, or reject it should it come later."""
+        """Stop a run; if it has not started yet, make the host reject its start."""
 
     @abstractmethod
     async def pace(self, order: Order, percent: int) -> HostAnswer:
-        """Let a task work at ``percent`` of its speed."""
+        """Throttle a task to ``percent`` of its full speed."""
 
     @abstractmethod
     async def hold(
@@ -166,14 +199,21 @@
         lease_until: int | None,
         wait: float,
     ) -> HostReport | Rejection:
-        """Extend the lease of all that runs on a host, and list it.
+        """Renew a host's lease and return its report.
 
         Parameters
         ----------
         acknowledged : int
-            Ends up to this number are forgotten by the host.
-        lease_until : int, optional
-            Milliseconds on the host's clock; None leaves the lease as it is.
+            Highest number of an end received; the host drops ends up to it.
+        lease_until : int or None
+            New expiry in milliseconds on the host's clock; None leaves the lease
+            unchanged.
         wait : float
-            Seconds for which the host may wait for an end.
+            Longest time in seconds for which the host may delay its reply until a
+            run ends.
+
+        Returns
+        -------
+        HostReport or Rejection
+            The report, or why the host rejected the renewal.
         """
--- a/siskinroad/work/hosts_memory.py
+++ b/siskinroad/work/hosts_memory.py
@@ -1,4 +1,4 @@
-"""In-memory twins of the hosts and of the advisor, with faults on request."""
+"""In-memory implementations of hosts and advisor with injectable faults."""
 
 from __future__ import annotations
 
@@ -23,13 +23,13 @@
 
 __all__ = ["MemoryAdvisor", "MemoryHost", "MemoryHosts", "Start"]
 
-# Seconds that a call without an answer keeps its caller waiting.
-SILENT_TIME = 30.0
+# Seconds after which a call that gets no reply fails.
+NO_REPLY_TIME = 30.0
 
 
 @dataclass(slots=True, frozen=True)
 class Start:
-    """One start that a host has carried out; ``at`` is loop time."""
+    """A start that a host has carried out; ``at`` is loop time in seconds."""
 
     host: str
     task: TaskId
@@ -47,30 +47,38 @@
     how: EndKind
     checkpoint: str = ""
 
-    def percent(self, now: float) -> int:
-        """Return how much of the run is over."""
+    def progress_percent(self, now: float) -> int:
+        """Return the elapsed share of the run in percent."""
         return int(100 * (now - self.began_at) / (self.ends_at - self.began_at))
 
 
 @dataclass(slots=True)
 class MemoryHost:
-    """One host that keeps the platform's promises about tokens and leases.
+    """Simulated host that enforces fencing tokens and leases as the platform does.
 
     Attributes
     ----------
     work : float
-        Seconds that a task takes here.
+        Duration of each task in seconds.
     how : EndKind
-        How tasks end here.
+        How each task ends.
     poison : set of str
-        Jobs whose tasks fail here, whatever ``how`` says.
+        Jobs whose tasks always fail, regardless of ``how``.
     silent : bool
-        Nothing is answered, and nothing arrives.
+        Whether commands are lost: they have no effect and get no reply.
     mute_starts : int
-        So many of the next starts get no answer.
+        Number of further starts that get no reply.
     late : float
-        Seconds after which a start without an answer is carried out; negative
-        for never.
+        Seconds after which a start without a reply is carried out; negative if it
+        never is.
+    token : int
+        Highest fencing token seen.
+    lease_until : int
+        Expiry of the lease in milliseconds on the host's clock; 0 before the first.
+    ends : list of Ended
+        Ends of runs not yet acknowledged.
+    last_run : dict of TaskId to int
+        Highest run number started or stopped, by task.
     """
 
     entry: HostEntry
@@ -94,22 +102,22 @@
         return int(asyncio.get_running_loop().time() * 1000)
 
     def advance(self) -> None:
-        """End what is over by now."""
+        """End the runs whose lease or duration has passed."""
         now = self.clock()
         if self.lease_until and now >= self.lease_until:
             for run in list(self.runs.values()):
-                self._end(run, EndKind.LAPSED)
+                self._end_run(run, EndKind.LAPSED)
         for run in list(self.runs.values()):
             if now >= run.ends_at * 1000:
-                self._end(run, run.how)
+                self._end_run(run, run.how)
 
-    def _end(self, run: _Run, how: EndKind) -> None:
+    def _end_run(self, run: _Run, how: EndKind) -> None:
         del self.runs[run.task]
         self.number += 1
         self.ends.append(Ended(self.number, run.task, run.run, how, run.checkpoint))
 
     def accept(self, order: StartOrder) -> Rejection | None:
-        """Carry a start out, or reject it."""
+        """Start a run, or return why it is rejected."""
         self.advance()
         if order.token < self.token:
             return Rejection.FENCED
@@ -134,7 +142,7 @@
         return None
 
     def stop(self, order: Order) -> Rejection | None:
-        """Stop a run, or reject it should it come later."""
+        """Stop a run; reject its start if that arrives later."""
         self.advance()
         if order.token < self.token:
             return Rejection.FENCED
@@ -142,11 +150,11 @@
         self.last_run[order.task] = max(order.run, self.last_run.get(order.task, 0))
         run = self.runs.get(order.task)
         if run is not None and run.run <= order.run:
-            self._end(run, EndKind.STOPPED)
+            self._end_run(run, EndKind.STOPPED)
         return None
 
     def used(self, needs: dict[TaskId, Resources]) -> Resources:
-        """Return what runs here takes in all."""
+        """Return the total resources of the running tasks."""
         total = Resources()
         for task in self.runs:
             total = total + needs[task]
@@ -154,7 +162,7 @@
 
 
 class MemoryHosts(HostLink):
-    """Hosts of one process; every caller sees the same ones."""
+    """Client of simulated hosts, shared by all daemons of a test."""
 
     def __init__(self) -> None:
         self.hosts: dict[str, MemoryHost] = {}
@@ -165,22 +173,22 @@
         self.hosts[host.entry.name] = host
 
     def starts(self) -> list[Start]:
-        """Return every start that was carried out, in order."""
+        """Return every start that was carried out, in order of time."""
         found = [start for host in self.hosts.values() for start in host.starts]
         return sorted(found, key=lambda start: start.at)
 
-    async def _reach(self, name: str) -> MemoryHost | None:
+    async def _find_host(self, name: str) -> MemoryHost | None:
         self.calls += 1
         await asyncio.sleep(0.001)
         host = self.hosts.get(name)
         if host is not None and host.silent:
-            await asyncio.sleep(SILENT_TIME)
-            raise OutcomeUnknownError("no answer", step="hosts", peer=name)
+            await asyncio.sleep(NO_REPLY_TIME)
+            raise OutcomeUnknownError("host did not reply", step="hosts", peer=name)
         return host
 
     async def start(self, order: StartOrder) -> HostAnswer:
         """Start a run; see the base class."""
-        host = await self._reach(order.host)
+        host = await self._find_host(order.host)
         if host is None:
             return HostAnswer(Rejection.OTHER_LIFE, None, None)
         if host.mute_starts > 0:
@@ -188,20 +196,22 @@
             if host.late >= 0:
                 loop = asyncio.get_running_loop()
                 loop.call_later(host.late, host.accept, order)
-            await asyncio.sleep(SILENT_TIME)
-            raise OutcomeUnknownError("no answer", step="start", peer=order.host)
+            await asyncio.sleep(NO_REPLY_TIME)
+            raise OutcomeUnknownError(
+                "host did not reply to the start", step="start", peer=order.host
+            )
         return HostAnswer(host.accept(order), host.clock(), host.born)
 
     async def stop(self, order: Order) -> HostAnswer:
         """Stop a run; see the base class."""
-        host = await self._reach(order.host)
+        host = await self._find_host(order.host)
         if host is None:
             return HostAnswer(Rejection.OTHER_LIFE, None, None)
         return HostAnswer(host.stop(order), host.clock(), host.born)
 
     async def pace(self, order: Order, percent: int) -> HostAnswer:
-        """Take a pace without effect; see the base class."""
-        host = await self._reach(order.host)
+        """Accept a throttle command without effect; see the base class."""
+        host = await self._find_host(order.host)
         rejection = None if host is not None else Rejection.OTHER_LIFE
         return HostAnswer(rejection, None, None)
 
@@ -214,8 +224,8 @@
         lease_until: int | None,
         wait: float,
     ) -> HostReport | Rejection:
-        """Extend the lease and list what runs; see the base class."""
-        found = await self._reach(host)
+        """Renew the lease and return the host's report; see the base class."""
+        found = await self._find_host(host)
         if found is None:
             return Rejection.OTHER_LIFE
         if token < found.token:
@@ -225,19 +235,28 @@
         found.ends = [end for end in found.ends if end.number > acknowledged]
         if lease_until is not None:
             found.lease_until = max(found.lease_until, lease_until)
-        until = asyncio.get_running_loop().time() + wait
-        while not found.ends and asyncio.get_running_loop().time() < until:
+        deadline = asyncio.get_running_loop().time() + wait
+        while not found.ends and asyncio.get_running_loop().time() < deadline:
             await asyncio.sleep(0.02)
             found.advance()
         now = asyncio.get_running_loop().time()
         running = tuple(
-            Running(r.task, r.run, "", r.percent(now), 0) for r in found.runs.values()
+            Running(r.task, r.run, "", r.progress_percent(now), 0)
+            for r in found.runs.values()
         )
         return HostReport(found.clock(), found.born, running, tuple(found.ends))
 
 
 class MemoryAdvisor(Advisor):
-    """Allows every host but those named in ``denied``."""
+    """Advisor that allows every host except those in ``denied``.
+
+    Parameters
+    ----------
+    decision : float
+        Seconds that each call takes.
+    valid : float
+        Seconds for which the tickets can be used.
+    """
 
     def __init__(self, decision: float = 0.02, valid: float = 2.0) -> None:
         self.decision = decision
@@ -248,7 +267,7 @@
     async def advise(
         self, job: str, occurrence: int, step: int, hosts: list[str], timeout: float
     ) -> Advised:
-        """Return the hosts that are not denied; see the base class."""
+        """Return a ticket for each host not denied; see the base class."""
         self.calls += 1
         await asyncio.sleep(self.decision)
         tickets = {host: f"t-{host}" for host in hosts if host not in self.denied}
