--- a/siskinroad/work/advice.py
+++ b/siskinroad/work/advice.py
@@ -1,4 +1,4 @@
-"""The service that says which hosts a step may use."""
+"""Interface to the advisor, the service that decides which hosts a step may use."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Advised:
-    """The hosts that a step may use, each with its ticket.
+    """The hosts that a step may use, with a ticket for each.
 
     Attributes
     ----------
     tickets : dict of str to str
-        Ticket by host.
+        Ticket by name of the host.
     valid : float
-        Seconds, from the answer on, for which the tickets can be used.
+        Seconds from the receipt of the reply for which the tickets can be used.
     """
 
     tickets: dict[str, str]
@@ -25,18 +25,19 @@
 
 
 class Advisor(ABC):
-    """Answers one call at a time for each calling entry host."""
+    """Client of the advisor, which serves one call at a time per calling daemon."""
 
     @abstractmethod
     async def advise(
         self, job: str, occurrence: int, step: int, hosts: list[str], timeout: float
     ) -> Advised:
-        """Return those of ``hosts`` that the step may use.
+        """Return tickets for those of ``hosts`` that the step may use.
 
         Raises
         ------
         NotSentError
-            Too many calls wait already, or the service is not reached.
+            If too many calls are waiting already, or the service is unreachable.
         OutcomeUnknownError
-            No answer in time; asking again is safe.
+            If there is no reply within ``timeout`` seconds; the call can safely be
+            repeated.
         """
--- a/siskinroad/work/lines.py
+++ b/siskinroad/work/lines.py
@@ -1,11 +1,14 @@
-"""Questions to the advisor, dealt over the lines of all living daemons.
-
-The advisor answers one call at a time for each calling daemon. Loads that this
-answers: short questions of urgent steps beside long ones of gangs (a third of the
-daemons, by name, takes the short ones, so that none waits behind a long one while
-there are two daemons); a take-over, after which every waiting step is asked about
-anew (an owner asks no more than the lines soon take, in order of urgency, so that a
-step that comes later is not behind all others).
+"""Distribution of advisor calls over the channels of all live daemons.
+
+The advisor serves one call at a time for each calling daemon: each daemon is one
+channel. Two loads shape the distribution:
+
+- Short calls for urgent steps beside long calls for gangs. A third of the daemons, by
+  name, make the short calls only, so that with two daemons or more no short call waits
+  behind a long one.
+- A takeover, after which advice is requested anew for every waiting step. An owner
+  requests no more than the channels can start soon, in order of urgency, so that a
+  step that arrives later does not wait behind all others.
 """
 
 from __future__ import annotations
@@ -22,28 +25,31 @@
 
 __all__ = ["AdviceLines", "LineTimes"]
 
-# Expected seconds from which a question counts as long.
-LONG_CALL = 0.08
-# Times its expected duration, and seconds besides, that an answer may take. A call
-# that is given up still keeps its line busy, so this is generous.
-PATIENCE_FACTOR = 3.0
-PATIENCE = 1.5
-# Daemons for each one that takes short questions: these use little of a line.
-SHORT_LINES = 3
-# Seconds of questions that may wait on a line for another to be sent there: plans
-# are made five times a second at least.
-QUEUE_TIME = 0.25
+# Expected duration in seconds from which an advisor call counts as long and
+# goes to a channel for long calls.
+LONG_CALL_THRESHOLD = 0.08
+# Timeout of a call once its channel is free: a multiple of its expected duration, plus
+# a margin in seconds. Both are generous, since a call that timed out still occupies its
+# channel.
+TIMEOUT_FACTOR = 3.0
+TIMEOUT_MARGIN = 1.5
+# One daemon in this many makes the short calls, which use little of a channel's time.
+DAEMONS_PER_SHORT_CHANNEL = 3
+# Longest backlog in seconds of a channel that still gets another call. At least five
+# plans a second are made, so a call that is refused soon gets another chance.
+MAX_CHANNEL_BACKLOG = 0.25
 
 log = logging.getLogger("siskinroad.lines")
 
 
 class LineTimes:
-    """When the lines are free, while one plan deals questions to them.
+    """Time until each channel is free, updated as one plan assigns calls.
 
     Parameters
     ----------
     short, long : list of float
-        Seconds until each line for short and for long questions is free.
+        Seconds until each channel for short and for long calls is free; negative if
+        it already is.
     """
 
     __slots__ = ("_long", "_short")
@@ -53,79 +59,107 @@
         self._long = long
 
     def take(self, duration: float) -> bool:
-        """Take a line for a question, if one is free soon."""
-        lines = self._long if duration >= LONG_CALL else self._short
-        if not lines:
+        """Assign a call of ``duration`` seconds to a channel if one is free.
+
+        Return whether the call may be made. A channel with a backlog of at most
+        ``MAX_CHANNEL_BACKLOG`` counts as free. Without any channel for calls of this
+        length, there is no limit.
+        """
+        channels = self._long if duration >= LONG_CALL_THRESHOLD else self._short
+        if not channels:
             return True
-        first = min(range(len(lines)), key=lines.__getitem__)
-        if lines[first] > QUEUE_TIME:
+        earliest = min(range(len(channels)), key=channels.__getitem__)
+        if channels[earliest] > MAX_CHANNEL_BACKLOG:
             return False
-        lines[first] = max(0.0, lines[first]) + duration
+        channels[earliest] = max(0.0, channels[earliest]) + duration
         return True
 
 
 class AdviceLines:
-    """Deals questions over the daemons' lines.
+    """Client of the advisor that distributes calls over the daemons' channels.
 
     Parameters
     ----------
     node : str
         This daemon's name.
-    alive : callable
-        Returns the other living daemons.
+    advisor : Advisor
+        Client for this daemon's own channel.
+    calls : Calls
+        Requests to the other daemons, for their channels.
+    living_peers : callable
+        Returns the names of the other live daemons.
     """
 
     def __init__(
-        self, node: str, advisor: Advisor, calls: Calls, alive: Callable[[], list[str]]
+        self,
+        node: str,
+        advisor: Advisor,
+        calls: Calls,
+        living_peers: Callable[[], list[str]],
     ) -> None:
         self._node = node
         self._advisor = advisor
         self._calls = calls
-        self._alive = alive
-        self._free_at: dict[str, float] = {}
-        self._own_free_at = 0.0
-        # Every owner has another order of lines, so that not all take the first.
+        self._living_peers = living_peers
+        self._channel_free_at: dict[str, float] = {}
+        self._own_channel_free_at = 0.0
+        # Seeded by name: with a different order per daemon, owners that find several
+        # channels free do not all choose the same one.
         self._rng = random.Random(node)
 
     def backlog(self, now: float) -> float:
-        """Return the seconds of calls that wait on this daemon's own line."""
-        return max(0.0, self._own_free_at - now)
+        """Return the backlog of this daemon's own channel in seconds."""
+        return max(0.0, self._own_channel_free_at - now)
 
-    def heard(self, line: str, backlog: float, now: float) -> None:
-        """Take in how much waits on another daemon's line, for any owner."""
-        self._free_at[line] = max(self._free_at.get(line, 0.0), now + backlog)
+    def heard(self, channel: str, backlog: float, now: float) -> None:
+        """Record the backlog in seconds, from all owners, of a peer's channel."""
+        self._channel_free_at[channel] = max(
+            self._channel_free_at.get(channel, 0.0), now + backlog
+        )
 
     async def ask(
         self, step: tuple[str, int, int], hosts: tuple[str, ...], duration: float
     ) -> Advised:
-        """Ask on the line that should answer first.
+        """Request advice through the channel that is expected to be free first.
+
+        Parameters
+        ----------
+        step : tuple
+            Job, occurrence and number of the step.
+        hosts : tuple of str
+            Hosts to ask about.
+        duration : float
+            Expected duration of the call in seconds.
 
         Raises
         ------
         SiskinroadError
-            No answer; asking again is safe.
+            If there is no reply in time; the request can safely be repeated.
         """
         loop = asyncio.get_running_loop()
         now = loop.time()
-        line = self._choose(duration, now)
-        start = max(now, self._free_at.get(line, 0.0))
-        self._free_at[line] = start + duration
-        timeout = start - now + duration * PATIENCE_FACTOR + PATIENCE
+        channel = self._choose_channel(duration, now)
+        start = max(now, self._channel_free_at.get(channel, 0.0))
+        self._channel_free_at[channel] = start + duration
+        timeout = start - now + duration * TIMEOUT_FACTOR + TIMEOUT_MARGIN
         try:
-            advised = await self._ask_on(line, step, hosts, duration, timeout)
+            advised = await self._request_through(
+                channel, step, hosts, duration, timeout
+            )
         except SiskinroadError as exc:
-            # Others take the next question while this line recovers.
-            self._free_at[line] = loop.time() + timeout
+            # Treat the channel as busy, so that others get the next calls while it
+            # recovers.
+            self._channel_free_at[channel] = loop.time() + timeout
             log.warning(
-                "lines: no advice",
-                extra={"request": step[0], "line": line, "error": str(exc)},
+                "lines: advisor call failed",
+                extra={"request": step[0], "line": channel, "error": str(exc)},
             )
             raise
         log.info(
-            "lines: advised",
+            "lines: advice received",
             extra={
                 "request": step[0],
-                "line": line,
+                "line": channel,
                 "asked": len(hosts),
                 "allowed": len(advised.tickets),
                 "took_s": round(loop.time() - now, 3),
@@ -135,47 +169,53 @@
         return advised
 
     def times(self, now: float) -> LineTimes:
-        """Return when the lines are free, for one plan."""
-        short, long = self._split()
+        """Return the time until each channel is free, for one plan."""
+        short, long = self._split_channels()
         return LineTimes(
-            [self._free_at.get(n, 0.0) - now for n in short],
-            [self._free_at.get(n, 0.0) - now for n in long],
+            [self._channel_free_at.get(n, 0.0) - now for n in short],
+            [self._channel_free_at.get(n, 0.0) - now for n in long],
         )
 
-    def _split(self) -> tuple[list[str], list[str]]:
-        """Return the lines for short and for long questions."""
-        names = sorted([self._node, *self._alive()])
-        short = names[::SHORT_LINES]
+    def _split_channels(self) -> tuple[list[str], list[str]]:
+        """Return the channels for short and for long calls."""
+        names = sorted([self._node, *self._living_peers()])
+        short = names[::DAEMONS_PER_SHORT_CHANNEL]
         return short, [name for name in names if name not in short] or names
 
-    def _choose(self, duration: float, now: float) -> str:
-        short, long = self._split()
-        lines = long if duration >= LONG_CALL else short
-        self._rng.shuffle(lines)
-        return min(lines, key=lambda n: max(now, self._free_at.get(n, 0.0)))
+    def _choose_channel(self, duration: float, now: float) -> str:
+        short, long = self._split_channels()
+        channels = long if duration >= LONG_CALL_THRESHOLD else short
+        self._rng.shuffle(channels)
+        return min(channels, key=lambda n: max(now, self._channel_free_at.get(n, 0.0)))
 
-    async def _ask_on(
+    async def _request_through(
         self,
-        line: str,
+        channel: str,
         step: tuple[str, int, int],
         hosts: tuple[str, ...],
         duration: float,
-        time: float,
+        timeout: float,
     ) -> Advised:
-        job, occurrence, number = step
-        if line == self._node:
-            return await self._call(job, occurrence, number, hosts, duration, time)
+        job, occurrence, step_number = step
+        if channel == self._node:
+            return await self._call_advisor(
+                job, occurrence, step_number, hosts, duration, timeout
+            )
         reply = await self._calls.ask(
-            line,
-            lambda n: AdviceRequest(n, job, occurrence, number, hosts, duration, time),
+            channel,
+            lambda request_id: AdviceRequest(
+                request_id, job, occurrence, step_number, hosts, duration, timeout
+            ),
             AdviceReply,
-            time,
+            timeout,
         )
         if not reply.valid:
-            raise OutcomeUnknownError("no advice there", step="lines", peer=line)
+            raise OutcomeUnknownError(
+                "peer's advisor call failed", step="lines", peer=channel
+            )
         return Advised(reply.tickets, reply.valid)
 
-    async def _call(
+    async def _call_advisor(
         self,
         job: str,
         occurrence: int,
@@ -184,15 +224,15 @@
         duration: float,
         timeout: float,
     ) -> Advised:
-        """Call the advisor on the own line, and keep count of what waits there."""
+        """Call the advisor on this daemon's channel and add to its backlog."""
         now = asyncio.get_running_loop().time()
-        self._own_free_at = max(self._own_free_at, now) + duration
+        self._own_channel_free_at = max(self._own_channel_free_at, now) + duration
         return await self._advisor.advise(job, occurrence, step, list(hosts), timeout)
 
     async def answer(self, msg: AdviceRequest) -> AdviceReply:
-        """Ask on this daemon's own line for another daemon."""
+        """Call the advisor on this daemon's channel for another daemon."""
         try:
-            advised = await self._call(
+            advised = await self._call_advisor(
                 msg.job,
                 msg.occurrence,
                 msg.step,
@@ -202,7 +242,7 @@
             )
         except SiskinroadError as exc:
             log.warning(
-                "lines: no advice for a peer",
+                "lines: advisor call for a peer failed",
                 extra={"request": msg.job, "error": str(exc)},
             )
             return AdviceReply(msg.id, {}, 0.0)
