--- a/siskinroad/work/calls.py
+++ b/siskinroad/work/calls.py
@@ -1,4 +1,4 @@
-"""Questions to other daemons, each with its answer or a timeout."""
+"""Requests to other daemons, each matched with its reply or a timeout."""
 
 from __future__ import annotations
 
@@ -13,75 +13,94 @@
 
 __all__ = ["Calls"]
 
-# Seconds between two looks at whether the asked daemon is still alive.
-ALIVE_CHECK = 0.2
+# Seconds between two checks of whether waiting for a reply is still worthwhile. A
+# larger value delays the failure of requests to a daemon that has died.
+LIVENESS_CHECK_INTERVAL = 0.2
 
 T = TypeVar("T")
 
 
 class Calls:
-    """Numbers questions and matches answers to them.
+    """Client that numbers its requests and matches replies to them.
 
     Parameters
     ----------
     peers : Peers
-        Links to the other daemons.
-    first : int
-        First number; differs between the lives of one daemon, so that an answer
-        to an earlier life is not taken for one to this.
+        Connections to the other daemons.
+    first_id : int
+        First request number. It differs between the incarnations of a daemon, so that
+        a late reply to an earlier incarnation is not matched to a request of this one.
     """
 
-    def __init__(self, peers: Peers, first: int) -> None:
+    def __init__(self, peers: Peers, first_id: int) -> None:
         self._peers = peers
-        self._numbers = itertools.count(first)
-        self._waiting: dict[int, asyncio.Future[Message]] = {}
+        self._request_ids = itertools.count(first_id)
+        self._pending: dict[int, asyncio.Future[Message]] = {}
 
     async def ask(
         self,
         peer: str,
-        make: Callable[[int], Message],
-        kind: type[T],
+        make_request: Callable[[int], Message],
+        reply_type: type[T],
         timeout: float,
         alive: Callable[[], bool] = lambda: True,
     ) -> T:
-        """Send the question that ``make`` returns and wait for its answer.
+        """Send the request that ``make_request`` returns and wait for its reply.
 
         Parameters
         ----------
+        peer : str
+            Name of the daemon.
+        make_request : callable
+            Returns the message, given its request number.
+        reply_type : type
+            Expected type of the reply.
+        timeout : float
+            Longest wait in seconds.
         alive : callable
-            Returns whether waiting on makes sense; asked now and then.
+            Returns whether to keep waiting, such as whether the peer is alive; called
+            every ``LIVENESS_CHECK_INTERVAL`` seconds.
 
         Raises
         ------
         OutcomeUnknownError
-            No answer of type ``kind`` came in time.
+            If no reply of type ``reply_type`` arrived before the timeout, or before
+            ``alive`` returned False.
         """
-        number = next(self._numbers)
-        fut: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
-        self._waiting[number] = fut
-        self._peers.send(peer, make(number))
+        request_id = next(self._request_ids)
+        future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
+        self._pending[request_id] = future
+        self._peers.send(peer, make_request(request_id))
         try:
-            await self._wait(fut, timeout, alive)
+            await self._wait_for_reply(future, timeout, alive)
         finally:
-            del self._waiting[number]
-        if not fut.done():
-            raise OutcomeUnknownError("no answer", step="peers", peer=peer)
-        answer = fut.result()
-        if not isinstance(answer, kind):
-            raise OutcomeUnknownError("other answer", step="peers", peer=peer)
-        return answer
+            del self._pending[request_id]
+        if not future.done():
+            raise OutcomeUnknownError(
+                "no reply before the timeout or the loss of the peer",
+                step="peers",
+                peer=peer,
+            )
+        reply = future.result()
+        if not isinstance(reply, reply_type):
+            raise OutcomeUnknownError(
+                "peer sent a reply of the wrong type", step="peers", peer=peer
+            )
+        return reply
 
-    async def _wait(
-        self, fut: asyncio.Future[Message], timeout: float, alive: Callable[[], bool]
+    async def _wait_for_reply(
+        self, future: asyncio.Future[Message], timeout: float, alive: Callable[[], bool]
     ) -> None:
         loop = asyncio.get_running_loop()
-        until = loop.time() + timeout
-        while not fut.done() and loop.time() < until and alive():
-            left = until - loop.time()
-            await asyncio.wait([fut], timeout=min(left, ALIVE_CHECK))
+        deadline = loop.time() + timeout
+        while not future.done() and loop.time() < deadline and alive():
+            remaining = deadline - loop.time()
+            await asyncio.wait(
+                [future], timeout=min(remaining, LIVENESS_CHECK_INTERVAL)
+            )
 
-    def answered(self, number: int, answer: Message) -> None:
-        """Take in an answer; one that nobody waits for any more is dropped."""
-        fut = self._waiting.get(number)
-        if fut is not None and not fut.done():
-            fut.set_result(answer)
+    def answered(self, request_id: int, reply: Message) -> None:
+        """Match a reply to its request; drop it if the request no longer waits."""
+        future = self._pending.get(request_id)
+        if future is not None and not future.done():
+            future.set_result(reply)
--- a/siskinroad/work/messages.py
+++ b/siskinroad/work/messages.py
@@ -1,4 +1,4 @@
-"""Messages between daemons that work on the platform's store."""
+"""Messages between daemons, and their codec."""
 
 from __future__ import annotations
 
@@ -28,22 +28,22 @@
 
 
 class Beat(msgspec.Struct, tag="beat", frozen=True, array_like=True):
-    """Sent by every daemon to every other one.
+    """Heartbeat that every daemon sends to every other one.
 
     Attributes
     ----------
     owned : tuple of tuple
-        Pools that the sender owns, each with its term.
+        Name and term of each pool that the sender owns.
     store_age : float
-        Seconds since the store last answered the sender.
+        Seconds since the store last replied to the sender.
     leaving : bool
-        The sender is about to stop.
+        Whether the sender is about to stop.
     able : bool
-        The sender has been up for long enough to claim a pool.
+        Whether the sender has been up for long enough to claim a pool.
     backlog : float
-        Seconds of calls to the advisor that wait on the sender's line.
+        Backlog in seconds of the sender's channel to the advisor.
     claiming : tuple of str
-        Pools that the sender is about to own.
+        Names of the pools that the sender is claiming.
     """
 
     node: str
@@ -57,9 +57,10 @@
 
 
 class Hello(msgspec.Struct, tag="hello", frozen=True, array_like=True):
-    """Sent to a daemon whenever a connection to it stands anew.
+    """Introduction sent to a daemon whenever a connection to it is established.
 
-    One that has just started and does not reach the store learns so of the others.
+    It lets a daemon that has just started and cannot reach the store learn of its
+    peers.
     """
 
     node: str
@@ -70,10 +71,11 @@
 
 
 class JobQuestion(msgspec.Struct, tag="job?", frozen=True, array_like=True):
-    """Asks a pool's owner for a job's state, its cancelling, or a queue's count.
+    """Request to a pool's owner about a job or a queue.
 
-    ``verb`` is ``show``, ``cancel`` or ``pending``; ``subject`` names a job or,
-    for ``pending``, a queue.
+    ``verb`` is ``show`` for a job's state, ``cancel`` to cancel a job, or ``pending``
+    for the number of a queue's accepted jobs that have not started. ``subject`` names
+    the job or queue.
     """
 
     id: int
@@ -83,10 +85,10 @@
 
 
 class JobAnswer(msgspec.Struct, tag="job!", frozen=True, array_like=True):
-    """Answers a ``JobQuestion``.
+    """Reply to a ``JobQuestion``.
 
-    ``state`` is empty if there is no such job, and ``unsure`` says that the
-    answerer does not know.
+    ``state`` is empty if there is no such job. ``unsure`` is the reason why the sender
+    cannot tell; it is empty if it can.
     """
 
     id: int
@@ -96,7 +98,7 @@
 
 
 class SubmitOutcome(StrEnum):
-    """What became of a record that was to be stored."""
+    """Outcome of a request to store a record."""
 
     STORED = "stored"
     NOT_DONE = "not done"
@@ -104,9 +106,9 @@
 
 
 class SubmitRequest(msgspec.Struct, tag="submit?", frozen=True, array_like=True):
-    """Asks the daemon that gathers a pool's jobs to store a record.
+    """Request to the pool's job writer to store a record.
 
-    ``left`` is the time in seconds that the caller still waits.
+    ``left`` is the time in seconds for which the caller still waits.
     """
 
     id: int
@@ -117,16 +119,16 @@
 
 
 class SubmitReply(msgspec.Struct, tag="submit!", frozen=True, array_like=True):
-    """Answers a ``SubmitRequest``."""
+    """Reply to a ``SubmitRequest``."""
 
     id: int
     outcome: SubmitOutcome
 
 
 class AdviceRequest(msgspec.Struct, tag="advice?", frozen=True, array_like=True):
-    """Asks the receiver to call the advisor on its own line.
+    """Request to call the advisor on the receiver's own channel.
 
-    ``duration`` is the expected time of the call, ``timeout`` the longest.
+    ``duration`` is the expected time of the call in seconds, ``timeout`` the longest.
     """
 
     id: int
@@ -139,7 +141,10 @@
 
 
 class AdviceReply(msgspec.Struct, tag="advice!", frozen=True, array_like=True):
-    """The advisor's answer; ``valid`` is 0 if there was none."""
+    """Reply to an ``AdviceRequest``.
+
+    ``valid`` is in seconds, and 0 if the call failed.
+    """
 
     id: int
     tickets: dict[str, str]
@@ -147,9 +152,9 @@
 
 
 class RelayRequest(msgspec.Struct, tag="relay?", frozen=True, array_like=True):
-    """A call to the store for a sender that does not reach it.
+    """Request to make a store call for a sender that cannot reach the store.
 
-    ``call`` is the encoded call, in the store client's own form.
+    ``call`` is the call in the encoding of ``RelayStore``, ``timeout`` in seconds.
     """
 
     id: int
@@ -158,9 +163,10 @@
 
 
 class RelayReply(msgspec.Struct, tag="relay!", frozen=True, array_like=True):
-    """Answers a ``RelayRequest``.
+    """Reply to a ``RelayRequest``.
 
-    ``outcome`` is ``answered``, ``not done`` or ``unknown``.
+    ``outcome`` is ``answered``, ``not done`` if the call failed without effect, or
+    ``unknown``. ``answer`` is the encoded result, empty unless answered.
     """
 
     id: int
--- a/siskinroad/work/records.py
+++ b/siskinroad/work/records.py
@@ -1,8 +1,8 @@
-"""What is kept in the store: accepted jobs, cancellations, owners and progress.
+"""Stored records: accepted jobs, cancellations, claims, progress and members.
 
-A pool has two topics. Any daemon adds accepted jobs, cancellations and claims
-to the first, under keys of their own, so that a repeated submission never
-overwrites progress. Only the owner writes to the second, fenced by its term.
+A pool has two topics. Any daemon appends accepted jobs, cancellations and claims to
+the first. Only the owner appends progress to the second, fenced by its term. The
+separation keeps a repeated submission from overwriting progress.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 
 
 class Accepted(msgspec.Struct, tag="job", frozen=True, omit_defaults=True):
-    """A job that its caller was told is accepted; ``at`` is Unix time in seconds."""
+    """A job whose acceptance the caller was told of; ``at`` is Unix time in seconds."""
 
     job: str
     queue: str
@@ -50,27 +50,33 @@
 
 
 class Cancelled(msgspec.Struct, tag="cancel", frozen=True):
-    """A job that its caller cancelled while its owner was not reached."""
+    """A cancellation stored while the pool's owner was unreachable.
+
+    ``at`` is Unix time in seconds.
+    """
 
     job: str
     at: float
 
 
 class OwnerRecord(msgspec.Struct, tag="owner", frozen=True):
-    """A claim of a pool; its offset plus one is the term. The highest term owns."""
+    """A claim of a pool.
+
+    The term of the claim is its offset plus one; the highest term owns the pool.
+    """
 
     node: str
     incarnation: int
 
 
 class Released(msgspec.Struct, tag="released", frozen=True):
-    """The owner of ``term`` has stopped all its calls to hosts."""
+    """Notice that the owner of ``term`` has stopped all its calls to hosts."""
 
     term: int
 
 
 class Member(msgspec.Struct, tag="member", frozen=True):
-    """A daemon, its life and where it listens for others."""
+    """A daemon, its incarnation, and the address at which it listens for its peers."""
 
     node: str
     incarnation: int
@@ -80,10 +86,11 @@
 
 
 class TaskNote(msgspec.Struct, frozen=True, array_like=True):
-    """What must last of a task; only of tasks that have been started.
+    """Durable state of a task that has been started.
 
-    ``failed`` names the runs that failed through the task's own fault: an end that
-    is listed again to another owner is not counted twice, in whatever order.
+    ``failed`` lists the runs that failed through the task's own fault. With their
+    numbers stored, an end that a host reports again to another owner is not counted
+    twice, in whatever order the ends arrive.
     """
 
     occurrence: int
@@ -96,9 +103,9 @@
 
 
 class Progress(msgspec.Struct, tag="progress", frozen=True, omit_defaults=True):
-    """All that is recorded of a job; a newer record replaces it whole.
+    """Stored progress of a job; a newer record replaces it as a whole.
 
-    ``state`` is empty while the job goes on; ``at`` is Unix time in seconds.
+    ``state`` is empty until the job ends; ``at`` is Unix time in seconds.
     """
 
     job: str
@@ -108,14 +115,15 @@
 
 
 class HostSet(msgspec.Struct, tag="hosts", frozen=True):
-    """Every host on which work of this term, or of one before it, may run.
+    """Hosts on which runs of this term, or of an earlier one, may exist.
 
     Attributes
     ----------
     term : int
         The owner's term.
     settled : bool
-        All that owners before this term started is accounted for.
+        Whether all runs started by owners of earlier terms are reconciled with this
+        owner's view.
     """
 
     names: tuple[str, ...]
@@ -130,27 +138,27 @@
 
 
 def job_topic(pool: str) -> str:
-    """Return the topic of a pool's jobs, cancellations and claims."""
+    """Return the topic for a pool's jobs, cancellations and claims."""
     return f"jobs.{pool}"
 
 
 def progress_topic(pool: str) -> str:
-    """Return the topic that only a pool's owner writes to."""
+    """Return the topic to which only a pool's owner appends."""
     return f"progress.{pool}"
 
 
 def pack(stored: Stored) -> bytes:
-    """Return a stored value's bytes."""
+    """Encode a value for the store."""
     return _ENCODER.encode(stored)
 
 
 def unpack(value: bytes) -> Stored:
-    """Return the stored value.
+    """Decode a value from the store.
 
     Raises
     ------
     ProtocolError
-        If the bytes are not one.
+        If the bytes do not encode one.
     """
     try:
         return _DECODER.decode(value)
@@ -159,7 +167,7 @@
 
 
 def record_of(stored: Stored) -> Record:
-    """Return the keyed record of a stored value."""
+    """Return the record for a value, with the key under which it is stored."""
     match stored:
         case Accepted(job=job) | Progress(job=job):
             key = job
