--- a/siskinroad/work/asking.py
+++ b/siskinroad/work/asking.py
@@ -146,9 +146,9 @@
             queue = self.book.queues.get(step.job.queue)
             if queue is None or queue.advice is None or step.job.closed:
                 continue
-            for successor in step.job.steps.values():
-                if step.number in successor.spec.after:
-                    self._request_ahead(plan, successor, queue, queue.advice)
+            for after in step.job.steps.values():
+                if step.number in after.spec.after:
+                    self._request_ahead(plan, after, queue, queue.advice)
 
     def _request_ahead(
         self, plan: Plan, step: StepRun, queue: Queue, advice: Advice
--- a/tests/work/test_asking.py
+++ b/tests/work/test_asking.py
@@ -75,16 +75,14 @@
     book = make(["i-0", "i-1"])
     add(book, "first", job(step(2, **LARGE)), "slow")
     accept_starts(book, plan(book, 0.1), 0.1)
-    gang_job = add(book, "gang", job(step(2, gang=True, **LARGE)), "advised")
-    allow(gang_job, "i-0", "i-1", until=1.0)
+    gang = add(book, "gang", job(step(2, gang=True, **LARGE)), "advised")
+    allow(gang, "i-0", "i-1", until=1.0)
     report_progress(book, 95, 3.9)
     (last_run,) = book.hosts["i-1"].runs.values()
     last_run.progress = 50
     assert advice_requests(plan(book, 3.9)) == []
     last_run.progress = 95
-    assert advice_requests(plan(book, 3.9)) == [
-        (gang_job.steps[0, 0].key, ("i-0", "i-1"))
-    ]
+    assert advice_requests(plan(book, 3.9)) == [(gang.steps[0, 0].key, ("i-0", "i-1"))]
 
 
 def test_advice_for_the_next_step_is_requested_while_its_predecessor_runs():
--- a/tests/work/test_lines.py
+++ b/tests/work/test_lines.py
@@ -44,7 +44,7 @@
                 case AdviceReply():
                     calls.answered(msg.id, msg)
                 case AdviceRequest():
-                    reply = send_reply(client, peers, peer, msg)
+                    reply = answer(client, peers, peer, msg)
                     tasks.append(asyncio.ensure_future(reply))
 
         peers.receiver = receive
@@ -52,7 +52,7 @@
     return clients
 
 
-async def send_reply(client, peers, peer, msg):
+async def answer(client, peers, peer, msg):
     peers.send(peer, await client.answer(msg))
 
 
