--- a/siskinroad/work/records.py
+++ b/siskinroad/work/records.py
@@ -1,8 +1,8 @@
 """Stored records: accepted jobs, cancellations, claims, progress and members.
 
 A pool has two topics. Any daemon appends accepted jobs, cancellations and claims to
-the first. Only the owner appends progress to the second, fenced by its term. The
-separation keeps a repeated submission from overwriting progress.
+the first, under keys of their own, so that a repeated submission never overwrites
+progress. Only the owner appends to the second, fenced by its term.
 """
 
 from __future__ import annotations
