--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -1,4 +1,4 @@
-"""A small stand-in of the platform: its store, hosts and advisor over HTTP."""
+"""Fake of the platform for tests: its store, hosts and advisor over HTTP."""
 
 import base64
 import struct
@@ -16,7 +16,7 @@
 from siskinroad.work.store import Fence, FencedError, TailMovedError, TrimmedError
 from siskinroad.work.store_memory import MemoryLogs, MemoryStore
 
-REASONS = {
+REASON_BY_REJECTION = {
     Rejection.FENCED: "fence",
     Rejection.OLD: "old",
     Rejection.LATE: "late",
@@ -65,8 +65,8 @@
     return HttpResponse(status, msgspec.json.encode(fields))
 
 
-class StandIn:
-    """One HTTP server that answers as the store, the advisor and every host."""
+class FakePlatform:
+    """HTTP server that acts as the store, the advisor and every host."""
 
     def __init__(self):
         self.logs = MemoryLogs()
@@ -74,7 +74,8 @@
         self.hosts = MemoryHosts()
         self.server = HttpServer(self.handle)
         self.requests = []
-        self.statuses = []
+        # Statuses of the next replies; the requests take no effect.
+        self.forced_statuses = []
 
     async def listen(self):
         address = await self.server.listen("127.0.0.1:0")
@@ -87,9 +88,9 @@
         self.logs.append(topic, [Record(key, value)], None, None)
 
     async def add_host(self, name, address, work=0.3):
-        room = Resources(16000, 32768, 0, 0)
+        capacity = Resources(16000, 32768, 0, 0)
         entry = HostEntry(
-            name, "wuno96b", address, "z1", False, room, frozenset(), "r1-3"
+            name, "wuno96b", address, "z1", False, capacity, frozenset(), "r1-3"
         )
         self.hosts.add(MemoryHost(entry, work=work))
         value = msgspec.json.encode(server_entry(address))
@@ -97,8 +98,8 @@
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         self.requests.append(req)
-        if self.statuses:
-            return reply(self.statuses.pop(0), reason="busy")
+        if self.forced_statuses:
+            return reply(self.forced_statuses.pop(0), reason="busy")
         match (req.method, req.path):
             case ("POST", "/log-append"):
                 return await self.append(req)
@@ -109,7 +110,7 @@
             case ("POST", "/advise"):
                 return self.advise(req)
             case ("POST", "/run-start" | "/run-stop" | "/pace" | "/hold"):
-                return await self.order(req)
+                return await self.run_command(req)
         return reply(404)
 
     async def append(self, req):
@@ -136,8 +137,8 @@
             tail = await self.store.read(query["topic"], int(query["from"]), wait=wait)
         except TrimmedError as exc:
             return reply(410, start_offset=exc.first)
-        head = struct.pack(">QQ", tail.end, 0)
-        return HttpResponse(200, head + encode_records(list(tail.records)))
+        offsets = struct.pack(">QQ", tail.end, 0)
+        return HttpResponse(200, offsets + encode_records(list(tail.records)))
 
     async def newest(self, req):
         after = unquote(req.query.get("depends_on", ""))
@@ -157,19 +158,19 @@
         rows = [[worker, f"t-{worker}"] for worker in body["workers"]]
         return reply(200, allowed=rows, valid_ms=2000)
 
-    async def order(self, req):
+    async def run_command(self, req):
         name = req.headers["expect-instance"]
         host = self.hosts.hosts.get(name)
         if host is None:
             return reply(421)
         body = msgspec.json.decode(req.body)
         if req.path == "/hold":
-            return await self.hold(name, body)
+            return await self.renew_lease(name, body)
         task, run = task_from_name(body["task"]), body["attempt"]
         token = body["fencing_token"]
         rejection = None
         if req.path == "/run-start":
-            order = StartOrder(
+            command = StartOrder(
                 name,
                 "",
                 token,
@@ -180,14 +181,16 @@
                 body.get("checkpoint", ""),
                 body.get("ticket", ""),
             )
-            rejection = host.accept(order)
+            rejection = host.accept(command)
         elif req.path == "/run-stop":
             rejection = host.stop(Order(name, "", token, task, run))
         if rejection is not None:
-            return reply(409, clock_ms=host.clock(), reason=REASONS[rejection])
+            return reply(
+                409, clock_ms=host.clock(), reason=REASON_BY_REJECTION[rejection]
+            )
         return reply(200, clock_ms=host.clock(), born=host.born)
 
-    async def hold(self, name, body):
+    async def renew_lease(self, name, body):
         wait = body.get("wait_ms", 0) / 1000
         report = await self.hosts.hold(
             name,
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -1,4 +1,4 @@
-"""The program itself, two daemons against the stand-in over the wire."""
+"""Two daemon processes against a fake platform, over real connections."""
 
 import asyncio
 import contextlib
@@ -12,13 +12,13 @@
 
 from siskinroad.errors import SiskinroadError
 from siskinroad.http_client import HttpPool
-from tests.platform.standin import StandIn
+from tests.platform.standin import FakePlatform
 
 pytestmark = pytest.mark.processes
 
-ID = "5c0e7a21d94b36f8"
-PATH = f"/pule252/{ID}"
-HEADERS = (("host", "ficu95.example"), ("deadline-ms", "3000"))
+JOB_ID = "5c0e7a21d94b36f8"
+JOB_PATH = f"/pule252/{JOB_ID}"
+CALLER_HEADERS = (("host", "ficu95.example"), ("deadline-ms", "3000"))
 SETTINGS = """
 node_name = "{name}"
 zone = "z1"
@@ -47,30 +47,30 @@
         return sock.getsockname()[1]
 
 
-class Caller:
-    """Asks until a bound of tries is reached; no verdict hangs on the time."""
+class CallerClient:
+    """HTTP client of a caller; polls a bounded number of times, without a deadline."""
 
     def __init__(self):
         self.http = HttpPool()
 
-    async def ask(self, address, method, path, body=b""):
-        fields = tuple(h for h in HEADERS if h[0] != "host")
+    async def send(self, address, method, path, body=b""):
+        headers = tuple(h for h in CALLER_HEADERS if h[0] != "host")
         return await self.http.request(
-            address, method, path, body=body, headers=fields, host="ficu95.example"
+            address, method, path, body=body, headers=headers, host="ficu95.example"
         )
 
-    async def until(self, address, path, good, tries=600):
+    async def poll(self, address, path, is_expected, attempts=600):
         last = None
-        for _ in range(tries):
+        for _ in range(attempts):
             with contextlib.suppress(SiskinroadError):
-                last = await self.ask(address, "GET", path)
-                if good(last):
+                last = await self.send(address, "GET", path)
+                if is_expected(last):
                     return last
             await asyncio.sleep(0.1)
         raise AssertionError(last)
 
 
-async def start(tmp_path, number, platform):
+async def start_daemon(tmp_path, number, platform):
     ip = f"127.0.0.{number}"
     ports = {"peers": free_port(ip), "front": free_port(ip), "ready": free_port(ip)}
     path = tmp_path / f"{number}.toml"
@@ -86,43 +86,45 @@
     return process, f"{ip}:{ports['front']}", f"{ip}:{ports['ready']}"
 
 
-async def play(tmp_path):
-    stand_in = StandIn()
-    platform = await stand_in.listen()
+async def run_scenario(tmp_path):
+    platform = FakePlatform()
+    address = await platform.listen()
     for name in ("i-1", "i-2"):
-        await stand_in.add_host(name, platform)
-    caller = Caller()
-    daemons = [await start(tmp_path, n, platform) for n in (2, 3)]
+        await platform.add_host(name, address)
+    caller = CallerClient()
+    daemons = [await start_daemon(tmp_path, n, address) for n in (2, 3)]
     try:
         for _, _, ready in daemons:
-            await caller.until(ready, "/readyz", lambda a: a.status == 200)
+            await caller.poll(ready, "/readyz", lambda r: r.status == 200)
         front = daemons[0][1]
         body = json.dumps(JOB).encode()
-        answer = await caller.ask(front, "POST", PATH, body)
-        assert answer.status == 200
+        submitted = await caller.send(front, "POST", JOB_PATH, body)
+        assert submitted.status == 200
         other = daemons[1][1]
-        await caller.until(other, PATH, lambda a: b"complete" in a.body)
-        assert len(stand_in.hosts.starts()) == 5
-        unknown = await caller.ask(front, "GET", "/none/")
+        await caller.poll(other, JOB_PATH, lambda r: b"complete" in r.body)
+        assert len(platform.hosts.starts()) == 5
+        unknown = await caller.send(front, "GET", "/none/")
         assert unknown.status == 404
-        count = await caller.ask(front, "GET", "/pule252/")
+        count = await caller.send(front, "GET", "/pule252/")
         assert json.loads(count.body) == {"pending": 0}
-        metrics = await caller.ask("127.0.0.2:9464", "GET", "/metrics")
+        metrics = await caller.send("127.0.0.2:9464", "GET", "/metrics")
         assert b"siskinroad_caller_answers_total" in metrics.body
         daemons[0][0].send_signal(signal.SIGTERM)
         assert await daemons[0][0].wait() == 0
-        await caller.until(other, PATH, lambda a: b"complete" in a.body)
+        await caller.poll(other, JOB_PATH, lambda r: b"complete" in r.body)
     finally:
         for process, _, _ in daemons:
             if process.returncode is None:
                 process.kill()
                 await process.wait()
-        await stand_in.server.close()
+        await platform.server.close()
     return [json.loads(line) for line in (tmp_path / "2.log").read_text().splitlines()]
 
 
-def test_two_daemons_run_a_job_and_one_stops_politely(tmp_path):
-    lines = asyncio.run(play(tmp_path))
+def test_two_daemons_run_a_job_and_one_drains_on_sigterm(tmp_path):
+    # Guards the whole path of a job: submitted to one daemon, run once per task, shown
+    # by the other one, and still shown after the first has stopped with exit code 0.
+    lines = asyncio.run(run_scenario(tmp_path))
     messages = {line["message"] for line in lines}
     assert {"node: started", "node: stopping", "node: stopped"} <= messages
     assert all("daemon" in line and "time" in line for line in lines)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -1,3 +1,5 @@
+"""Tests of the settings file that the platform writes for each process."""
+
 import os
 import subprocess
 import sys
@@ -26,7 +28,7 @@
 """
 
 
-def test_settings_are_read_in_seconds_and_unknown_fields_left_alone():
+def test_settings_are_in_seconds_and_unknown_fields_are_ignored():
     cfg = parse_platform_settings(SETTINGS, "s")
     assert cfg.node == "edge-1" and cfg.peer_address == "127.0.0.1:7380"
     assert cfg.timing.max_lease == 10.0 and cfg.grace == 6.0
@@ -43,22 +45,22 @@
         ('address = "10.200.1.7:8142"', "", "platform.address"),
     ],
 )
-def test_a_wrong_field_is_named(old, new, place):
+def test_error_names_the_invalid_field(old, new, place):
     with pytest.raises(ConfigError) as caught:
         parse_platform_settings(SETTINGS.replace(old, new), "s")
     assert place in [problem.place for problem in caught.value.problems]
 
 
 @pytest.mark.processes
-def test_a_wrong_file_ends_the_program_with_one_line_and_code_two(tmp_path):
+def test_invalid_settings_file_ends_the_process_with_one_line_and_code_two(tmp_path):
     path = tmp_path / "local.toml"
     path.write_text(SETTINGS.replace('zone = "z1"', "zone = 1"))
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-m", "siskinroad_platform"],
         env=os.environ | {"SISKINROAD_BOOT": str(path)},
         capture_output=True,
         text=True,
         timeout=30,
     )
-    assert done.returncode == 2
-    assert done.stderr.count("\n") == 1 and "zone" in done.stderr
+    assert result.returncode == 2
+    assert result.stderr.count("\n") == 1 and "zone" in result.stderr
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -1,3 +1,5 @@
+"""Tests of the decoders of the platform's message bodies and records."""
+
 import msgspec
 import pytest
 from hypothesis import given, settings
@@ -42,7 +44,7 @@
 }
 
 
-def test_a_job_s_steps_are_decoded_with_the_product_s_units():
+def test_job_steps_are_decoded_and_converted_to_seconds():
     spec = decode_job(msgspec.json.encode(JOB))
     first, second = spec.steps
     assert (first.count, first.cpu_milli, first.estimate) == (4, 500, 0.9)
@@ -52,7 +54,7 @@
     assert spec.occurrences == 1 and spec.first == 0.0
 
 
-def test_a_job_that_repeats_has_its_times_in_seconds():
+def test_start_and_interval_of_a_repeating_job_are_in_seconds():
     body = JOB | {"repeat_count": 3, "start_at_ms": 5000, "interval_ms": 250}
     spec = decode_job(msgspec.json.encode(body))
     assert (spec.occurrences, spec.first, spec.interval) == (3, 5.0, 0.25)
@@ -72,14 +74,15 @@
         b'{"spec":"x","phases":[{"count":9999999}]}',
     ],
 )
-def test_a_job_that_makes_no_sense_is_refused(body):
+def test_invalid_job_raises_protocol_error(body):
     with pytest.raises(ProtocolError):
         decode_job(body)
 
 
 @settings(derandomize=True, max_examples=200)
 @given(st.binary(max_size=200))
-def test_garbage_never_ends_the_decoding_otherwise(data):
+def test_arbitrary_bytes_raise_only_protocol_error(data):
+    # The callers of the decoders handle ProtocolError and no other exception.
     decoder = PlatformDecoder()
     assert decoder.host("i", data) is None
     assert decoder.setup("config", data) is None
@@ -93,18 +96,18 @@
     "change",
     [{"state": "resting"}, {"service": 5}, {"address": None}, {"capacity": []}],
 )
-def test_an_entry_of_another_writer_names_no_host(change):
+def test_invalid_host_entry_is_skipped(change):
     value = msgspec.json.encode(server_entry("10.0.0.1:80") | change)
     assert PlatformDecoder().host("i-1", value) is None
 
 
-def test_an_entry_is_decoded_and_unknown_fields_are_left_alone():
+def test_host_entry_is_decoded_and_unknown_fields_are_ignored():
     value = msgspec.json.encode(server_entry("10.0.0.1:80", "draining") | {"new": 1})
     host = PlatformDecoder().host("i-1", value)
     assert host.draining and host.rack == "r1-3" and host.capacity.cpu_milli == 16000
 
 
-def test_a_configuration_is_decoded():
+def test_configuration_is_decoded():
     setup = PlatformDecoder().setup("config", msgspec.json.encode(CONFIG))
     queue = setup.find("ficu95.example", "/pule252/5c0e7a21d94b36f8")
     assert queue.pool == "wuno96b" and queue.target == 0.4
@@ -113,7 +116,7 @@
     assert setup.find("other.example", "/pule252/5c0e7a21d94b36f8") is None
 
 
-def test_a_report_is_decoded():
+def test_host_report_is_decoded():
     name = "5c0e7a21d94b36f8.0.1.17"
     body = {
         "clock_ms": 482113,
@@ -127,7 +130,7 @@
     assert report.ended[0].how is EndKind.LAPSED
 
 
-def test_a_task_s_name_is_read_back():
+def test_task_name_round_trips():
     task = TaskId("5c0e7a21d94b36f8", 3, 1, 17)
     assert task_from_name(task_name(task)) == task
     with pytest.raises(ProtocolError):
@@ -136,6 +139,6 @@
 
 @settings(derandomize=True)
 @given(st.lists(st.tuples(st.text(min_size=1, max_size=40), st.binary(max_size=50))))
-def test_records_are_read_back(pairs):
+def test_records_round_trip(pairs):
     records = [Record(key, value) for key, value in pairs]
     assert list(decode_records(encode_records(records))) == records
