--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -110,7 +110,7 @@
             case ("POST", "/advise"):
                 return self.advise(req)
             case ("POST", "/run-start" | "/run-stop" | "/pace" | "/hold"):
-                return await self.run_command(req)
+                return await self.command(req)
         return reply(404)
 
     async def append(self, req):
@@ -158,14 +158,14 @@
         rows = [[worker, f"t-{worker}"] for worker in body["workers"]]
         return reply(200, allowed=rows, valid_ms=2000)
 
-    async def run_command(self, req):
+    async def command(self, req):
         name = req.headers["expect-instance"]
         host = self.hosts.hosts.get(name)
         if host is None:
             return reply(421)
         body = msgspec.json.decode(req.body)
         if req.path == "/hold":
-            return await self.renew_lease(name, body)
+            return await self.hold(name, body)
         task, run = task_from_name(body["task"]), body["attempt"]
         token = body["fencing_token"]
         rejection = None
@@ -190,7 +190,7 @@
             )
         return reply(200, clock_ms=host.clock(), born=host.born)
 
-    async def renew_lease(self, name, body):
+    async def hold(self, name, body):
         wait = body.get("wait_ms", 0) / 1000
         report = await self.hosts.hold(
             name,
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -54,9 +54,14 @@
         self.http = HttpPool()
 
     async def send(self, address, method, path, body=b""):
-        headers = tuple(h for h in CALLER_HEADERS if h[0] != "host")
+        sent_headers = tuple(h for h in CALLER_HEADERS if h[0] != "host")
         return await self.http.request(
-            address, method, path, body=body, headers=headers, host="ficu95.example"
+            address,
+            method,
+            path,
+            body=body,
+            headers=sent_headers,
+            host="ficu95.example",
         )
 
     async def poll(self, address, path, is_expected, attempts=600):
