--- a/siskinroad/accounts.py
+++ b/siskinroad/accounts.py
@@ -18,9 +18,9 @@
 HOUR_MS = 3_600_000
 # Milliseconds between two divisions of the used and idle capacity. The amounts of a
 # span are booked to the hour in which it begins, so a larger value blurs the hours.
-SETTLE_MS = 60_000
+SETTLE_INTERVAL_MS = 60_000
 # Hours for which amounts are kept; it bounds the memory of the accounts.
-KEPT_HOURS = 48
+RETAINED_HOURS = 48
 
 
 def apportion(amount: int, weights: list[float]) -> list[int]:
@@ -129,8 +129,8 @@
         meter.held = meter.held + held if sign > 0 else meter.held - held
 
     def tick(self, now: int) -> None:
-        """Settle the accounts if ``SETTLE_MS`` have passed since the last time."""
-        if now - self._settled >= SETTLE_MS:
+        """Settle the accounts every ``SETTLE_INTERVAL_MS``."""
+        if now - self._settled >= SETTLE_INTERVAL_MS:
             self.settle(now)
 
     def settle(self, now: int) -> None:
@@ -147,7 +147,7 @@
             amounts = [used[name][dim] if name in used else 0 for name in names]
             self._divide(dim, capacity[dim], names, amounts, spans)
         self.capacity.setdefault(hour, Amounts()).add(Amounts(capacity))
-        for old in [h for h in self.hours if h < hour - KEPT_HOURS]:
+        for old in [h for h in self.hours if h < hour - RETAINED_HOURS]:
             del self.hours[old]
             del self.capacity[old]
 
--- a/siskinroad/attempts.py
+++ b/siskinroad/attempts.py
@@ -11,7 +11,7 @@
 from siskinroad.placement import HostView
 from siskinroad.queues import Item
 from siskinroad.resources import Resources
-from siskinroad.retries import Failure, Retry, decide
+from siskinroad.retries import Failure, Retry, decide_retry
 from siskinroad.shard import PoolState, Running, Shard
 from siskinroad.upstreams import Control, Usage
 
@@ -20,20 +20,20 @@
 # First and longest backoff of a batch task or gang, in seconds; it doubles with each
 # attempt.
 FIRST_BACKOFF = 0.1
-LONGEST_BACKOFF = 30.0
+MAX_BACKOFF = 30.0
 # Attempts of a request that never reached a host and do not count as tries. Without a
 # limit, a request would be repeated forever. It also bounds the exponent of a backoff.
 MAX_NOT_SENT = 10
 
 SEVERITY = {end: rank for rank, end in enumerate(End)}
-FAILURES = {
+FAILURE_OF_END = {
     End.NOT_SENT: Failure.NOT_SENT,
     End.REJECTED: Failure.REJECTED,
     End.LOST: Failure.UNKNOWN,
     End.FAILED: Failure.FAILED,
     End.UNKNOWN: Failure.UNKNOWN,
 }
-JUDGED = (End.DONE, End.FAILED, End.UNKNOWN)
+HEALTH_ENDS = (End.DONE, End.FAILED, End.UNKNOWN)
 
 
 class Attempts:
@@ -43,7 +43,7 @@
         self.shard = shard
         self.chart = load_chart("attempt")
         self.verdicts: list[Verdict] = []
-        self.held_back: list[Item] = []
+        self.backing_off: list[Item] = []
 
     def begin(
         self, item: Item, places: list[HostView], held: Resources, now: float
@@ -53,14 +53,14 @@
         item.state = self.chart.next(item.state, "start")
         item.started = now
         attempt = run_name(item.key, item.tries)
-        ends = now + self.shard.estimates.run_time(item.workload)
-        run = Running(item, attempt, {}, held, now, ends)
-        self._enter(run)
+        expected_end = now + self.shard.estimates.run_time(item.workload)
+        run = Running(item, attempt, {}, held, now, expected_end)
+        self._register_run(run)
         for member, view in enumerate(places):
             self._place(run, member, view, held, now)
         return StartTask(item, attempt, [view.name for view in places])
 
-    def _enter(self, run: Running) -> None:
+    def _register_run(self, run: Running) -> None:
         item = run.item
         state = self.shard.pools[item.workload.pool]
         self.shard.running[item.key] = run
@@ -73,10 +73,10 @@
     ) -> None:
         workload = run.item.workload
         run.hosts[member] = view.name
-        run.seen.add(member)
+        run.known_members.add(member)
         index = self.shard.pools[workload.pool].index
         index.take(view, task_name(run.item.key, member), held, workload.name)
-        self.shard.hold(workload, run.held, 1, now)
+        self.shard.charge(workload, run.held, 1, now)
 
     def adopt(self, item: Item, name: AttemptName, host: str, now: float) -> bool:
         """Adopt a task that already runs on a host; return whether that succeeded."""
@@ -86,32 +86,32 @@
             return False
         if run is None:
             held = self.shard.estimates.reserve(item.workload, view.capacity)
-            ends = now + self.shard.estimates.run_time(item.workload)
-            run = Running(item, name.run, {}, held, now, ends)
+            expected_end = now + self.shard.estimates.run_time(item.workload)
+            run = Running(item, name.run, {}, held, now, expected_end)
             item.state = "running"
             item.tries = max(item.tries, name.number)
             item.started = now
             self.shard.items[item.key] = item
-            self._enter(run)
-        if name.member not in run.seen:
-            room = Resources(view.cpu, view.memory, view.accelerators, view.slots)
-            self._place(run, name.member, view, run.held.clip(room), now)
+            self._register_run(run)
+        if name.member not in run.known_members:
+            free = Resources(view.cpu, view.memory, view.accelerators, view.slots)
+            self._place(run, name.member, view, run.held.clip(free), now)
         return run.hosts.get(name.member) == host
 
     def fail_partial(self, run: Running) -> list[Effect]:
         """Stop a gang of which only some members were found, so that it restarts."""
-        if len(run.seen) >= run.item.workload.size:
+        if len(run.known_members) >= run.item.workload.size:
             return []
-        run.worst = max(run.worst, End.LOST, key=lambda end: SEVERITY[end])
+        run.worst_end = max(run.worst_end, End.LOST, key=lambda end: SEVERITY[end])
         return self._stop_others(run, End.LOST)
 
     def withdraw(self, item: Item) -> None:
         """Remove a waiting item whose task was found running."""
-        held_back = item.hold_until > 0
+        is_backing_off = item.hold_until > 0
         item.state = "cancelled"
         del self.shard.items[item.key]
-        if held_back:
-            self.drop_held_back(item)
+        if is_backing_off:
+            self.drop_backing_off(item)
         else:
             self.shard.waiting.drop(item)
 
@@ -145,10 +145,10 @@
         if usage is not None:
             run.note_usage(member, usage)
         view = self._release(run, member, now)
-        self._learn(run, view, member, end, now, run_time)
+        self._record_outcome(run, view, member, end, now, run_time)
         effects: list[Effect] = []
-        if SEVERITY[end] > SEVERITY[run.worst]:
-            run.worst = end
+        if SEVERITY[end] > SEVERITY[run.worst_end]:
+            run.worst_end = end
             effects += self._stop_others(run, end)
             if end in (End.FAILED, End.UNKNOWN, End.REJECTED):
                 run.item.avoid.add(view.name)
@@ -175,10 +175,10 @@
         workload = run.item.workload
         index = self.shard.pools[self.shard.pool_of[view.name]].index
         index.give_back(view, task_name(run.item.key, member), workload.name)
-        self.shard.hold(workload, run.held, -1, now)
+        self.shard.charge(workload, run.held, -1, now)
         return view
 
-    def _learn(
+    def _record_outcome(
         self,
         run: Running,
         view: HostView,
@@ -194,16 +194,18 @@
             cpu, memory = usage.cpu_milli, usage.memory_mib
             self.shard.estimates.observe(workload, seconds, cpu, memory)
         if workload.kind == "service":
-            self._adapt(view, end, now)
-        if end not in JUDGED:
+            self._adjust_limit(view, end, now)
+        if end not in HEALTH_ENDS:
             return
         hosts = len(self.shard.pool_state(view.name).index.hosts)
-        good = end is End.DONE
-        verdict = self.shard.health.observe(view.name, workload.name, good, now, hosts)
+        succeeded = end is End.DONE
+        verdict = self.shard.health.observe(
+            view.name, workload.name, succeeded, now, hosts
+        )
         if verdict is not None:
             self.verdicts.append(verdict)
 
-    def _adapt(self, view: HostView, end: End, now: float) -> None:
+    def _adjust_limit(self, view: HostView, end: End, now: float) -> None:
         limit = self.shard.limits[view.name]
         if end is End.DONE:
             limit.success()
@@ -214,25 +216,25 @@
     def _conclude(self, run: Running, now: float) -> list[Effect]:
         item = run.item
         state = self.shard.pools[item.workload.pool]
-        self._leave(run, state, now)
+        self._remove_run(run, state, now)
         if item.state == "stopping":
-            done = run.worst is End.DONE
+            done = run.worst_end is End.DONE
             return self._finish(item, End.DONE if done else End.STOPPED)
-        match run.worst:
+        match run.worst_end:
             case End.DONE:
                 return self._finish(item, End.DONE)
             case End.CHECKPOINTED | End.STOPPED:
-                return self.again(item, front=True)
+                return self.requeue(item, front=True)
             case End.LOST if item.workload.kind != "service":
-                return self.again(item, front=True)
+                return self.requeue(item, front=True)
         if item.workload.kind == "service":
-            return self._retry_request(item, FAILURES[run.worst], now)
-        return self._retry_task(item, run.worst, now)
+            return self._retry_request(item, FAILURE_OF_END[run.worst_end], now)
+        return self._retry_task(item, run.worst_end, now)
 
-    def _leave(self, run: Running, state: PoolState, now: float) -> None:
+    def _remove_run(self, run: Running, state: PoolState, now: float) -> None:
         del self.shard.running[run.item.key]
         state.evictable.pop(run.item.key, None)
-        state.headroom.ended(now)
+        state.headroom.count_end(now)
         if run.evicting:
             state.evicting -= 1
 
@@ -242,7 +244,7 @@
         del self.shard.items[item.key]
         return [Finished(item, end)]
 
-    def again(self, item: Item, *, front: bool) -> list[Effect]:
+    def requeue(self, item: Item, *, front: bool) -> list[Effect]:
         """Queue an item again without a backoff."""
         item.state = "waiting"
         item.hold_until = 0.0
@@ -253,49 +255,49 @@
         lane.blocked = False
         return []
 
-    def _later(self, item: Item, until: float) -> list[Effect]:
+    def _back_off(self, item: Item, until: float) -> list[Effect]:
         item.state = "waiting"
         item.hold_until = until
-        self.held_back.append(item)
+        self.backing_off.append(item)
         return []
 
-    def _retry_task(self, item: Item, worst: End, now: float) -> list[Effect]:
-        if worst is End.FAILED and item.tries > item.workload.retries:
+    def _retry_task(self, item: Item, worst_end: End, now: float) -> list[Effect]:
+        if worst_end is End.FAILED and item.tries > item.workload.retries:
             return self._finish(item, End.FAILED)
         exponent = min(item.tries, MAX_NOT_SENT)
-        delay = min(FIRST_BACKOFF * 2**exponent, LONGEST_BACKOFF)
-        return self._later(item, now + delay)
+        delay = min(FIRST_BACKOFF * 2**exponent, MAX_BACKOFF)
+        return self._back_off(item, now + delay)
 
     def _retry_request(self, item: Item, failure: Failure, now: float) -> list[Effect]:
         budget = self.shard.budget(item.workload.owner)
         if failure is Failure.NOT_SENT and item.unsent < MAX_NOT_SENT:
             item.unsent += 1
         tries = item.tries - item.unsent
-        verdict = decide(item.workload, failure, tries, budget, self.shard.rng)
+        verdict = decide_retry(item.workload, failure, tries, budget, self.shard.rng)
         if isinstance(verdict, Retry):
             if now + verdict.delay <= item.deadline:
-                return self._later(item, now + verdict.delay)
-            sent = failure in (Failure.UNKNOWN, Failure.FAILED)
-            outcome = Outcome.UNKNOWN if sent else Outcome.NOT_RUN
+                return self._back_off(item, now + verdict.delay)
+            may_have_run = failure in (Failure.UNKNOWN, Failure.FAILED)
+            outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
             verdict = Refusal(Reason.DEADLINE, step="retry", outcome=outcome)
         item.state = "lost"
         del self.shard.items[item.key]
         return [Refused(item, verdict)]
 
-    def release_held_back(self, now: float) -> None:
+    def release_backed_off(self, now: float) -> None:
         """Queue the items whose backoff after a failure is over."""
-        due = [item for item in self.held_back if item.hold_until <= now]
+        due = [item for item in self.backing_off if item.hold_until <= now]
         if not due:
             return
-        self.held_back = [item for item in self.held_back if item.hold_until > now]
+        self.backing_off = [item for item in self.backing_off if item.hold_until > now]
         for item in due:
             front = item.workload.kind == "service"
-            self.again(item, front=front)
+            self.requeue(item, front=front)
 
-    def next_release(self) -> float:
+    def next_backoff_end(self) -> float:
         """Return the earliest end of a backoff; infinite if there is none."""
-        return min((item.hold_until for item in self.held_back), default=float("inf"))
+        return min((item.hold_until for item in self.backing_off), default=float("inf"))
 
-    def drop_held_back(self, item: Item) -> None:
+    def drop_backing_off(self, item: Item) -> None:
         """Remove an item that was cancelled during its backoff."""
-        self.held_back = [x for x in self.held_back if x is not item]
+        self.backing_off = [x for x in self.backing_off if x is not item]
--- a/siskinroad/dispatch.py
+++ b/siskinroad/dispatch.py
@@ -16,23 +16,23 @@
 
 # Seconds after which a reservation is planned again, so that it follows changed
 # estimates of when the running tasks end.
-RESERVATION_TIME = 5.0
+RESERVATION_REFRESH_TIME = 5.0
 # Minimum seconds between the plans of new reservations in a pool. Planning visits all
 # tasks of many hosts, so a smaller value costs processor time.
-PLAN_PAUSE = 1.0
+MIN_PLAN_INTERVAL = 1.0
 # Largest fraction of a pool's hosts reserved at one time. A larger value leaves too
 # few hosts for small work.
-MAX_HELD_PART = 0.5
-# Seconds of waiting after which an item may reserve hosts beyond ``MAX_HELD_PART``, so
-# that a large gang is not starved.
-AGED_WAIT = 120.0
+MAX_RESERVED_FRACTION = 0.5
+# Seconds of waiting after which an item may reserve hosts beyond
+# ``MAX_RESERVED_FRACTION``, so that a large gang is not starved.
+AGED_WAIT_TIME = 120.0
 # Remaining run time of an overdue task, as a fraction of the time that it has run.
-OVERDUE_PART = 0.6
+OVERDUE_FRACTION = 0.6
 # Blocked lanes that are tried again in one tick; it bounds the cost of a tick.
-RETRIED_LANES = 8
+MAX_UNBLOCKED_LANES = 8
 # Largest fraction of a pool's slots kept free for urgent work. A larger value could
 # keep other work from starting at all.
-HEADROOM_PART = 0.5
+MAX_HEADROOM_FRACTION = 0.5
 
 
 class Dispatcher:
@@ -50,7 +50,7 @@
         self.shard = shard
         self.attempts = attempts
         self.requests_only = False
-        self._turn = 0
+        self._unblock_offset = 0
 
     def dispatch(self, now: float) -> list[StartTask]:
         """Start all waiting work that may start now, in order."""
@@ -59,7 +59,7 @@
             lane = self._next_lane(now)
             if lane is None:
                 return started
-            effect = self._try_lane(lane, now)
+            effect = self._start_head(lane, now)
             if effect is None:
                 lane.blocked = True
             else:
@@ -91,31 +91,31 @@
         return started
 
     def _fill_once(self, view: HostView, now: float) -> StartTask | None:
-        takers = self._takers(view, now)
+        fitting = self._fitting_lanes(view, now)
         for urgency in Urgency:
-            lanes = takers[urgency]
+            lanes = fitting[urgency]
             if len(lanes) > 1:
                 lanes.sort(key=lambda lane: self._rank(lane, now))
             for lane in lanes:
-                effect = self._try_lane(lane, now, view)
+                effect = self._start_head(lane, now, view)
                 if effect is not None:
                     return effect
         return None
 
-    def _takers(self, view: HostView, now: float) -> dict[Urgency, list[Lane]]:
+    def _fitting_lanes(self, view: HostView, now: float) -> dict[Urgency, list[Lane]]:
         """Return the lanes whose head fits on the host, by current urgency class."""
         pool = self.shard.pool_of[view.name]
         state = self.shard.pools[pool]
-        takers: dict[Urgency, list[Lane]] = {urgency: [] for urgency in Urgency}
+        fitting: dict[Urgency, list[Lane]] = {urgency: [] for urgency in Urgency}
         for urgency, lanes in self.shard.waiting.active.items():
             background = urgency is Urgency.BACKGROUND
             for lane in lanes.values():
-                if lane.workload.pool == pool and self._could_take(state, lane, view):
-                    takers[lane.urgency(now) if background else urgency].append(lane)
-        return takers
+                if lane.workload.pool == pool and self._fits_on(state, lane, view):
+                    fitting[lane.urgency(now) if background else urgency].append(lane)
+        return fitting
 
-    def _try_lane(
-        self, lane: Lane, now: float, only: HostView | None = None
+    def _start_head(
+        self, lane: Lane, now: float, only_host: HostView | None = None
     ) -> StartTask | None:
         item = lane.head()
         assert item is not None
@@ -129,10 +129,10 @@
             return None
         if not self._leaves_headroom(state, workload, whole, now):
             return None
-        places = self._places(state, item, need, now, only)
+        places = self._choose_hosts(state, item, need, now, only_host)
         if places is None:
-            if only is None:
-                self._reserve(state, item, need, now)
+            if only_host is None:
+                self._reserve_hosts(state, item, need, now)
             return None
         self.shard.waiting.take(lane)
         lane.count_start(now)
@@ -142,68 +142,71 @@
     def _leaves_headroom(
         self, state: PoolState, workload: Workload, need: Resources, now: float
     ) -> bool:
-        keep = state.headroom.keep(workload.urgency, now)
-        if not keep:
+        reserved_tasks = state.headroom.reserved_tasks(workload.urgency, now)
+        if not reserved_tasks:
             return True
         slots = state.pool.capacity.slots * len(state.index.hosts)
-        keep = min(keep, int(slots * HEADROOM_PART))
+        reserved_tasks = min(reserved_tasks, int(slots * MAX_HEADROOM_FRACTION))
         urgent = state.urgent_need
         index = state.index
         return (
-            index.free_slots - need.slots >= keep * urgent.slots
-            and index.free_cpu - need.cpu_milli >= keep * urgent.cpu_milli
-            and index.free_memory - need.memory_mib >= keep * urgent.memory_mib
+            index.free_slots - need.slots >= reserved_tasks * urgent.slots
+            and index.free_cpu - need.cpu_milli >= reserved_tasks * urgent.cpu_milli
+            and index.free_memory - need.memory_mib
+            >= reserved_tasks * urgent.memory_mib
             and index.free_accelerators - need.accelerators
-            >= keep * urgent.accelerators
+            >= reserved_tasks * urgent.accelerators
         )
 
-    def _places(
+    def _choose_hosts(
         self,
         state: PoolState,
         item: Item,
         need: Resources,
         now: float,
-        only: HostView | None,
+        only_host: HostView | None,
     ) -> list[HostView] | None:
-        closed = self._closed(state, item, now)
+        reserved = self._reserved_for_others(state, item, now)
         workload = item.workload
-        if only is not None and workload.size == 1:
-            barred = only.name in closed or only.name in item.avoid
-            return None if barred else [only]
+        if only_host is not None and workload.size == 1:
+            is_excluded = only_host.name in reserved or only_host.name in item.avoid
+            return None if is_excluded else [only_host]
         if workload.size > 1:
-            parts = state.index.whole(need, workload.size, item.avoid, closed)
+            parts = state.index.whole(need, workload.size, item.avoid, reserved)
             if parts is None:
                 return None
             return [view for view, count in parts for _ in range(count)]
         if (
             workload.kind == "service" and not workload.demand.accelerators
         ) or workload.long_running:
-            view = state.index.widest(need, item.avoid, closed, workload.name)
+            view = state.index.widest(need, item.avoid, reserved, workload.name)
         else:
-            view = state.index.tightest(need, item.avoid, closed)
+            view = state.index.tightest(need, item.avoid, reserved)
         return None if view is None else [view]
 
-    def _closed(self, state: PoolState, item: Item, now: float) -> set[str]:
+    def _reserved_for_others(
+        self, state: PoolState, item: Item, now: float
+    ) -> set[str]:
         """Return the hosts reserved for other items that the item would delay."""
-        self._drop_stale(state)
+        self._drop_stale_reservations(state)
         if not state.reservations or item.workload.urgency is Urgency.URGENT:
             return set()
-        ends = now + self.shard.estimates.run_time(item.workload)
-        closed: set[str] = set()
+        expected_end = now + self.shard.estimates.run_time(item.workload)
+        reserved: set[str] = set()
         for key, held in state.reservations.items():
-            if key != item.key and not held.admits(ends):
-                closed |= held.hosts
-        return closed
+            if key != item.key and not held.admits(expected_end):
+                reserved |= held.hosts
+        return reserved
 
-    def _reserve(
+    def _reserve_hosts(
         self, state: PoolState, item: Item, need: Resources, now: float
     ) -> None:
         """Reserve hosts for an item that does not fit, if a reservation is due."""
         if item.workload.kind == "service" or not self._may_reserve(state, item, now):
             return
-        state.planned = now
+        state.last_planned = now
         state.reservations.pop(item.key, None)
-        held = self._held_hosts(state)
+        held = self._reserved_hosts(state)
         hosts = [
             view
             for view in state.index.hosts.values()
@@ -211,14 +214,14 @@
         ]
         size = item.workload.size
         plan = plan_reservation(
-            item.key, need, size, hosts, lambda task: self._ends(task, now), now
+            item.key, need, size, hosts, lambda task: self._expected_end(task, now), now
         )
-        aged = now - item.enqueued > AGED_WAIT
+        aged = now - item.enqueued > AGED_WAIT_TIME
         count = len(held) + len(plan.hosts) if plan is not None else 0
-        if plan is not None and (aged or self._leaves_unheld(state, count)):
+        if plan is not None and (aged or self._leaves_enough_unreserved(state, count)):
             state.reservations[item.key] = plan
 
-    def _drop_stale(self, state: PoolState) -> None:
+    def _drop_stale_reservations(self, state: PoolState) -> None:
         """Remove reservations of items that are no longer the head of their lane.
 
         An item that failed and waits behind others again is not tried, so its
@@ -230,24 +233,24 @@
             if lane is None or lane.head() is not holder:
                 del state.reservations[key]
 
-    def _held_hosts(self, state: PoolState) -> set[str]:
+    def _reserved_hosts(self, state: PoolState) -> set[str]:
         names: set[str] = set()
         for held in state.reservations.values():
             names |= held.hosts
         return names
 
-    def _leaves_unheld(self, state: PoolState, held: int) -> bool:
+    def _leaves_enough_unreserved(self, state: PoolState, held: int) -> bool:
         if not state.reservations:
             return True
-        return held <= len(state.index.hosts) * MAX_HELD_PART
+        return held <= len(state.index.hosts) * MAX_RESERVED_FRACTION
 
     def _may_reserve(self, state: PoolState, item: Item, now: float) -> bool:
         held = state.reservations.get(item.key)
         if held is not None:
-            return now - held.made >= RESERVATION_TIME
-        return now - state.planned >= PLAN_PAUSE
+            return now - held.planned_at >= RESERVATION_REFRESH_TIME
+        return now - state.last_planned >= MIN_PLAN_INTERVAL
 
-    def _ends(self, task: str, now: float) -> float:
+    def _expected_end(self, task: str, now: float) -> float:
         """Return the loop time at which a task is expected to end.
 
         Run times have a long tail, so an overdue task is expected to run on for a
@@ -256,9 +259,9 @@
         run = self.shard.running.get(split_task(task)[0])
         if run is None:
             return now
-        return max(run.ends, now + (now - run.started) * OVERDUE_PART)
+        return max(run.expected_end, now + (now - run.started) * OVERDUE_FRACTION)
 
-    def _could_take(self, state: PoolState, lane: Lane, view: HostView) -> bool:
+    def _fits_on(self, state: PoolState, lane: Lane, view: HostView) -> bool:
         workload = lane.workload
         need = self.shard.estimates.reserve(workload, state.pool.capacity)
         if not view.fits(need):
@@ -296,9 +299,9 @@
             for lane in lanes.values()
             if lane.blocked
         ]
-        for step in range(min(RETRIED_LANES, len(blocked))):
-            blocked[(self._turn + step) % len(blocked)].blocked = False
-        self._turn += RETRIED_LANES
+        for step in range(min(MAX_UNBLOCKED_LANES, len(blocked))):
+            blocked[(self._unblock_offset + step) % len(blocked)].blocked = False
+        self._unblock_offset += MAX_UNBLOCKED_LANES
 
 
 def blocked_reason(shard: Shard, item: Item) -> str:
@@ -311,12 +314,12 @@
     whole = need.times(workload.size)
     if not shard.shares.within_quota(workload.owner, whole):
         return f"{workload.owner} has used up its quota"
-    opened = [view for view in state.index.hosts.values() if view.open]
-    if not opened:
+    open_hosts = [view for view in state.index.hosts.values() if view.open]
+    if not open_hosts:
         return f"no host of {workload.pool} accepts new work"
-    room = sum(view.count(need) for view in opened)
-    if room < workload.size:
-        return f"room for {room} of {workload.size} on {len(opened)} hosts"
+    fitting = sum(view.count(need) for view in open_hosts)
+    if fitting < workload.size:
+        return f"room for {fitting} of {workload.size} on {len(open_hosts)} hosts"
     others = [key for key in state.reservations if key != item.key]
     if others:
         return f"hosts are reserved for {', '.join(others)}"
--- a/siskinroad/estimates.py
+++ b/siskinroad/estimates.py
@@ -11,7 +11,7 @@
 __all__ = ["Estimates", "Histogram"]
 
 # Histogram buckets for each factor of two. With fewer, quantiles come out too high.
-STEPS_PER_DOUBLING = 4
+BUCKETS_PER_DOUBLING = 4
 # Weight that a sample keeps when the next one arrives. A larger value follows
 # changes of a workload more slowly.
 DECAY = 0.995
@@ -43,7 +43,7 @@
 
     def add(self, value: float) -> None:
         """Add one positive sample and decay the weight of the older ones."""
-        index = math.ceil(STEPS_PER_DOUBLING * math.log2(max(value, 1e-9)))
+        index = math.ceil(BUCKETS_PER_DOUBLING * math.log2(max(value, 1e-9)))
         self.scale /= DECAY
         self.counts[index] = self.counts.get(index, 0.0) + self.scale
         self.total += self.scale
@@ -56,7 +56,7 @@
         for index in sorted(self.counts):
             left -= self.counts[index]
             if left <= 1e-9 * self.total:
-                return 2.0 ** (index / STEPS_PER_DOUBLING)
+                return 2.0 ** (index / BUCKETS_PER_DOUBLING)
         return 0.0
 
     @property
@@ -73,13 +73,13 @@
 
 
 @dataclass(slots=True)
-class _Learned:
+class _WorkloadStatistics:
     cpu: Histogram = field(default_factory=Histogram)
     memory: Histogram = field(default_factory=Histogram)
     run_time: Histogram = field(default_factory=Histogram)
     declared: Resources | None = None
     reserve: Resources | None = None
-    seconds: float | None = None
+    run_time_s: float | None = None
 
 
 class Estimates:
@@ -89,23 +89,23 @@
     """
 
     def __init__(self) -> None:
-        self._learned: dict[str, _Learned] = {}
+        self._stats: dict[str, _WorkloadStatistics] = {}
 
     def observe(
         self, workload: Workload, run_time: float, cpu_milli: int, memory_mib: int
     ) -> None:
         """Add the run time in seconds and the peak usage of one ended task."""
-        learned = self._learned.setdefault(workload.name, _Learned())
-        learned.run_time.add(run_time)
-        learned.cpu.add(max(cpu_milli, 1))
-        learned.memory.add(max(memory_mib, 1))
-        learned.reserve = None
-        learned.seconds = None
+        stats = self._stats.setdefault(workload.name, _WorkloadStatistics())
+        stats.run_time.add(run_time)
+        stats.cpu.add(max(cpu_milli, 1))
+        stats.memory.add(max(memory_mib, 1))
+        stats.reserve = None
+        stats.run_time_s = None
 
     def known(self, workload: Workload) -> bool:
         """Return whether enough tasks have ended to estimate their size."""
-        learned = self._learned.get(workload.name)
-        return learned is not None and learned.memory.weight >= MIN_SAMPLES
+        stats = self._stats.get(workload.name)
+        return stats is not None and stats.memory.weight >= MIN_SAMPLES
 
     def reserve(self, workload: Workload, capacity: Resources) -> Resources:
         """Return the resources to allocate to one task on a host of ``capacity``.
@@ -115,33 +115,35 @@
         """
         if workload.kind == "service":
             return workload.demand
-        learned = self._learned.get(workload.name)
-        if learned is None:
-            learned = self._learned[workload.name] = _Learned()
-        if learned.reserve is None or learned.declared is not workload.demand:
-            learned.declared = workload.demand
-            learned.reserve = _reserve(workload.demand, learned, capacity)
-        return learned.reserve
+        stats = self._stats.get(workload.name)
+        if stats is None:
+            stats = self._stats[workload.name] = _WorkloadStatistics()
+        if stats.reserve is None or stats.declared is not workload.demand:
+            stats.declared = workload.demand
+            stats.reserve = _compute_reserve(workload.demand, stats, capacity)
+        return stats.reserve
 
     def run_time(self, workload: Workload) -> float:
         """Return the expected run time in seconds: the median, once it is known."""
         if workload.long_running:
             return math.inf
-        learned = self._learned.get(workload.name)
-        if learned is None or learned.run_time.weight < MIN_SAMPLES:
+        stats = self._stats.get(workload.name)
+        if stats is None or stats.run_time.weight < MIN_SAMPLES:
             return workload.run_time
-        if learned.seconds is None:
-            learned.seconds = learned.run_time.quantile(RUN_TIME_QUANTILE)
-        return learned.seconds
+        if stats.run_time_s is None:
+            stats.run_time_s = stats.run_time.quantile(RUN_TIME_QUANTILE)
+        return stats.run_time_s
 
 
-def _reserve(demand: Resources, learned: _Learned, capacity: Resources) -> Resources:
-    if learned.memory.weight < MIN_SAMPLES:
-        return _scaled(demand, UNKNOWN_FACTOR, capacity)
-    return _peak(demand, learned, capacity)
+def _compute_reserve(
+    demand: Resources, stats: _WorkloadStatistics, capacity: Resources
+) -> Resources:
+    if stats.memory.weight < MIN_SAMPLES:
+        return _scale_demand(demand, UNKNOWN_FACTOR, capacity)
+    return _estimate_peak(demand, stats, capacity)
 
 
-def _scaled(demand: Resources, factor: float, capacity: Resources) -> Resources:
+def _scale_demand(demand: Resources, factor: float, capacity: Resources) -> Resources:
     return Resources(
         min(
             round(demand.cpu_milli * factor), max(capacity.cpu_milli, demand.cpu_milli)
@@ -155,18 +157,20 @@
     )
 
 
-def _peak(demand: Resources, learned: _Learned, capacity: Resources) -> Resources:
-    cpu = learned.cpu.quantile(PEAK_QUANTILE) * PEAK_MARGIN
-    memory = learned.memory.quantile(PEAK_QUANTILE) * PEAK_MARGIN
+def _estimate_peak(
+    demand: Resources, stats: _WorkloadStatistics, capacity: Resources
+) -> Resources:
+    cpu = stats.cpu.quantile(PEAK_QUANTILE) * PEAK_MARGIN
+    memory = stats.memory.quantile(PEAK_QUANTILE) * PEAK_MARGIN
     return Resources(
-        min(_bounded(cpu, demand.cpu_milli), capacity.cpu_milli),
-        min(_bounded(memory, demand.memory_mib), capacity.memory_mib),
+        min(_clamp(cpu, demand.cpu_milli), capacity.cpu_milli),
+        min(_clamp(memory, demand.memory_mib), capacity.memory_mib),
         demand.accelerators,
         demand.slots,
     )
 
 
-def _bounded(value: float, declared: int) -> int:
+def _clamp(value: float, declared: int) -> int:
     low = declared / MAX_RATIO
     high = declared * MAX_RATIO
     return max(1, math.ceil(min(max(value, low), high)))
--- a/siskinroad/gangs.py
+++ b/siskinroad/gangs.py
@@ -33,22 +33,22 @@
         Names of the hosts; other work may use them only until ``start``.
     start : float
         Loop time at which all members are expected to fit.
-    made : float
+    planned_at : float
         Loop time at which the reservation was planned.
     """
 
     key: str
     hosts: set[str]
     start: float
-    made: float
+    planned_at: float
 
-    def admits(self, ends: float) -> bool:
-        """Return whether work that is expected to end at ``ends`` may use the hosts."""
-        return ends <= self.start
+    def admits(self, expected_end: float) -> bool:
+        """Return whether work that ends at ``expected_end`` may use the hosts."""
+        return expected_end <= self.start
 
 
 @dataclass(slots=True)
-class _Room:
+class _FreeCapacity:
     cpu: int
     memory: int
     accelerators: int
@@ -76,7 +76,7 @@
     need: Resources,
     size: int,
     hosts: list[HostView],
-    ends: Callable[[str], float],
+    expected_end: Callable[[str], float],
     now: float,
 ) -> Reservation | None:
     """Plan a reservation for a gang that does not fit yet.
@@ -87,7 +87,7 @@
         Resources that one member takes.
     hosts : list of HostView
         Candidates; the first ``MAX_CANDIDATES`` are considered.
-    ends : callable
+    expected_end : callable
         Returns the loop time at which a task is expected to end.
 
     Returns
@@ -97,14 +97,14 @@
         have ended.
     """
     events: list[tuple[float, int, HostView, Resources]] = []
-    rooms: dict[str, _Room] = {}
+    free: dict[str, _FreeCapacity] = {}
     counts: dict[str, int] = {}
     for host in hosts[:MAX_CANDIDATES]:
-        room = _Room(host.cpu, host.memory, host.accelerators, host.slots)
-        rooms[host.name] = room
-        counts[host.name] = room.count(need)
+        capacity = _FreeCapacity(host.cpu, host.memory, host.accelerators, host.slots)
+        free[host.name] = capacity
+        counts[host.name] = capacity.count(need)
         for task, held in host.tasks.items():
-            events.append((max(ends(task), now), len(events), host, held))
+            events.append((max(expected_end(task), now), len(events), host, held))
     events.sort(key=lambda event: event[:2])
     total = sum(counts.values())
     start = now
@@ -113,17 +113,17 @@
             break
         if time == math.inf:
             return None
-        rooms[host.name].add(held)
-        count = rooms[host.name].count(need)
+        free[host.name].add(held)
+        count = free[host.name].count(need)
         total += count - counts[host.name]
         counts[host.name] = count
         start = time
     if total < size:
         return None
-    return Reservation(key, _fewest(counts, size), start, now)
+    return Reservation(key, _fewest_hosts(counts, size), start, now)
 
 
-def _fewest(counts: dict[str, int], size: int) -> set[str]:
+def _fewest_hosts(counts: dict[str, int], size: int) -> set[str]:
     chosen = set()
     for name in sorted(counts, key=lambda name: (-counts[name], name)):
         if size <= 0:
--- a/siskinroad/health.py
+++ b/siskinroad/health.py
@@ -18,20 +18,20 @@
 DECAY = 0.9
 # First and longest quarantine of an ejected host, in seconds. It doubles each time the
 # host fails on probation, so that a faulty host does not fail work again and again.
-FIRST_REST = 30.0
-LONGEST_REST = 600.0
+FIRST_QUARANTINE = 30.0
+MAX_QUARANTINE = 600.0
 # Successes on probation after which a host counts as healthy.
 PROBATION_SUCCESSES = 3
 # Largest fraction of a pool's hosts in quarantine or on probation. A larger value
 # could take the whole pool out of service on a fault that all hosts share.
-MAX_EJECTED_PART = 0.5
+MAX_EJECTED_FRACTION = 0.5
 # Half the number of counterparts without failures that a failure rate assumes. With a
 # smaller value, a single counterpart could decide the rate.
-PRIOR = 1.0
+PRIOR_COUNT = 1.0
 
 
 @dataclass(slots=True)
-class _Pair:
+class _Outcomes:
     ok: float = 0.0
     failed: float = 0.0
 
@@ -40,26 +40,26 @@
 class _Score:
     """Recent outcomes of a host by workload, or of a workload by host."""
 
-    pairs: dict[str, _Pair] = field(default_factory=dict)
+    by_counterpart: dict[str, _Outcomes] = field(default_factory=dict)
 
-    def add(self, other: str, good: bool) -> None:
-        pair = self.pairs.get(other)
-        if pair is None:
-            pair = self.pairs[other] = _Pair()
-        if good:
-            pair.ok = pair.ok * DECAY + 1
-            pair.failed *= DECAY
+    def add(self, other: str, succeeded: bool) -> None:
+        outcomes = self.by_counterpart.get(other)
+        if outcomes is None:
+            outcomes = self.by_counterpart[other] = _Outcomes()
+        if succeeded:
+            outcomes.ok = outcomes.ok * DECAY + 1
+            outcomes.failed *= DECAY
         else:
-            pair.failed = pair.failed * DECAY + 1
-            pair.ok *= DECAY
+            outcomes.failed = outcomes.failed * DECAY + 1
+            outcomes.ok *= DECAY
 
     def rate_without(self, other: str) -> float:
         """Return the mean failure rate over all counterparts but ``other``."""
         failed = 0.0
-        total = 2 * PRIOR
-        for name, pair in self.pairs.items():
+        total = 2 * PRIOR_COUNT
+        for name, outcomes in self.by_counterpart.items():
             if name != other:
-                rate = pair.failed / (pair.ok + pair.failed + 1e-9)
+                rate = outcomes.failed / (outcomes.ok + outcomes.failed + 1e-9)
                 failed += rate
                 total += 1
         return failed / total
@@ -77,8 +77,8 @@
 class _HostHealth:
     score: _Score = field(default_factory=_Score)
     blame: float = 0.0
-    rest: float = FIRST_REST
-    until: float = 0.0
+    quarantine_time: float = FIRST_QUARANTINE
+    quarantine_end: float = 0.0
     state: str = "good"
     successes: int = 0
 
@@ -89,10 +89,10 @@
     def __init__(self) -> None:
         self._hosts: dict[str, _HostHealth] = {}
         self._workloads: dict[str, _Score] = {}
-        self._resting: set[str] = set()
+        self._quarantined: set[str] = set()
 
     def observe(
-        self, host: str, workload: str, good: bool, now: float, hosts: int
+        self, host: str, workload: str, succeeded: bool, now: float, hosts: int
     ) -> Verdict | None:
         """Record one outcome; return a verdict if it changes the host's state.
 
@@ -103,48 +103,48 @@
         """
         health = self._hosts.setdefault(host, _HostHealth())
         score = self._workloads.setdefault(workload, _Score())
-        if good:
+        if succeeded:
             health.blame *= DECAY
         else:
             health.blame += 1.0 - score.rate_without(host) * 2
             health.blame = max(health.blame, 0.0)
-        health.score.add(workload, good)
-        score.add(host, good)
+        health.score.add(workload, succeeded)
+        score.add(host, succeeded)
         if health.state == "probation":
-            return self._probation(host, health, good, now)
-        if good or health.state != "good" or health.blame < EJECT_BLAME:
+            return self._observe_probation(host, health, succeeded, now)
+        if succeeded or health.state != "good" or health.blame < EJECT_BLAME:
             return None
-        if len(self._resting) + 1 > max(1, int(hosts * MAX_EJECTED_PART)):
+        if len(self._quarantined) + 1 > max(1, int(hosts * MAX_EJECTED_FRACTION)):
             return None
         return self._eject(host, health, now)
 
-    def _probation(
-        self, host: str, health: _HostHealth, good: bool, now: float
+    def _observe_probation(
+        self, host: str, health: _HostHealth, succeeded: bool, now: float
     ) -> Verdict | None:
-        if not good:
-            health.rest = min(health.rest * 2, LONGEST_REST)
+        if not succeeded:
+            health.quarantine_time = min(health.quarantine_time * 2, MAX_QUARANTINE)
             return self._eject(host, health, now)
         health.successes += 1
         if health.successes < PROBATION_SUCCESSES:
             return None
         health.state = "good"
         health.blame = 0.0
-        health.rest = FIRST_REST
-        self._resting.discard(host)
+        health.quarantine_time = FIRST_QUARANTINE
+        self._quarantined.discard(host)
         return Verdict(host, "recover")
 
     def _eject(self, host: str, health: _HostHealth, now: float) -> Verdict:
         health.state = "ejected"
-        health.until = now + health.rest
-        self._resting.add(host)
+        health.quarantine_end = now + health.quarantine_time
+        self._quarantined.add(host)
         return Verdict(host, "eject")
 
     def tick(self, now: float) -> list[Verdict]:
         """Put the hosts whose quarantine is over on probation and return them."""
         verdicts = []
-        for host in sorted(self._resting):
+        for host in sorted(self._quarantined):
             health = self._hosts[host]
-            if health.state == "ejected" and now >= health.until:
+            if health.state == "ejected" and now >= health.quarantine_end:
                 health.state = "probation"
                 health.successes = 0
                 verdicts.append(Verdict(host, "probation"))
@@ -153,7 +153,7 @@
     def forget(self, host: str) -> None:
         """Remove the record of a host that was removed or replaced."""
         self._hosts.pop(host, None)
-        self._resting.discard(host)
+        self._quarantined.discard(host)
 
     def forget_workload(self, workload: str) -> None:
         """Remove the record of a workload that has ended."""
--- a/siskinroad/limits.py
+++ b/siskinroad/limits.py
@@ -12,12 +12,12 @@
 # Tasks by which a host's limit grows for each limit's worth of successes.
 INCREASE = 0.25
 # Factor by which a failure of the host lowers its limit.
-DECREASE = 0.7
+DECREASE_FACTOR = 0.7
 # Lowest limit, in tasks. A host with a lower one would get no work and never recover.
 MIN_LIMIT = 1.0
 # Minimum seconds between two decreases. One event fails many requests at once, and
 # with a smaller value it would lower the limit once for each of them.
-DECREASE_PAUSE = 1.0
+MIN_DECREASE_INTERVAL = 1.0
 
 # Half-life of the measured rates of arrivals and of ends, in seconds.
 ARRIVAL_HALF_LIFE = 5.0
@@ -25,21 +25,21 @@
 # value, no capacity is left for a burst that follows a quiet time.
 PEAK_HALF_LIFE = 300.0
 # Seconds of urgent arrivals that the headroom must hold.
-HEADROOM_TIME = 0.05
+HEADROOM_WINDOW = 0.05
 # Safety margin of each class, in square roots of the expected arrivals.
 HEADROOM_MARGIN = {Urgency.STANDARD: 0.5, Urgency.BACKGROUND: 2.5}
 # Expected urgent tasks below which no headroom is kept.
-NEGLIGIBLE = 1e-3
+NEGLIGIBLE_TASKS = 1e-3
 
 # Fraction of a limit at which work of each class is refused, least urgent first.
-SHED_AT = {Urgency.URGENT: 1.0, Urgency.STANDARD: 0.9, Urgency.BACKGROUND: 0.7}
+SHED_FRACTION = {Urgency.URGENT: 1.0, Urgency.STANDARD: 0.9, Urgency.BACKGROUND: 0.7}
 
 
 @dataclass(slots=True)
 class ConcurrencyLimit:
     """Concurrency limit of a host: additive increase, multiplicative decrease.
 
-    A failure of the host lowers the limit, at most once in ``DECREASE_PAUSE``
+    A failure of the host lowers the limit, at most once in ``MIN_DECREASE_INTERVAL``
     seconds, since one event fails many requests at once. Slow replies do not lower
     it: run times have a heavy tail, and treating a slow reply as a sign of overload
     starved healthy hosts.
@@ -59,8 +59,8 @@
 
     def failure(self, now: float) -> int:
         """Record a failure of the host and return the new limit."""
-        if now - self.lowered_at >= DECREASE_PAUSE:
-            self.limit = max(self.limit * DECREASE, MIN_LIMIT)
+        if now - self.lowered_at >= MIN_DECREASE_INTERVAL:
+            self.limit = max(self.limit * DECREASE_FACTOR, MIN_LIMIT)
             self.lowered_at = now
         return self.whole
 
@@ -80,10 +80,10 @@
 
     def count(self, now: float) -> None:
         """Record one event."""
-        self.value = self.present(now) + math.log(2) / self.half_life
+        self.value = self.current(now) + math.log(2) / self.half_life
         self.at = now
 
-    def present(self, now: float) -> float:
+    def current(self, now: float) -> float:
         """Return the rate, decayed to ``now``."""
         return self.value * 0.5 ** ((now - self.at) / self.half_life)
 
@@ -92,7 +92,7 @@
 class Headroom:
     """Capacity kept free for urgent work, derived from its arrivals.
 
-    The headroom holds the urgent work that may arrive in ``HEADROOM_TIME``, less
+    The headroom holds the urgent work that may arrive in ``HEADROOM_WINDOW``, less
     the work that is expected to end in that time, plus a safety margin. A pool whose
     tasks end often needs little headroom; one full of long tasks needs more.
     """
@@ -102,24 +102,24 @@
     peak_at: float = 0.0
     ends: Rate = field(default_factory=lambda: Rate(ARRIVAL_HALF_LIFE))
 
-    def arrived(self, now: float) -> None:
+    def count_arrival(self, now: float) -> None:
         """Record the arrival of one urgent item."""
         self.arrivals.count(now)
         decay = 0.5 ** ((now - self.peak_at) / PEAK_HALF_LIFE)
         self.peak = max(self.arrivals.value, self.peak * decay)
         self.peak_at = now
 
-    def ended(self, now: float) -> None:
+    def count_end(self, now: float) -> None:
         """Record the end of a task of any class."""
         self.ends.count(now)
 
-    def keep(self, urgency: Urgency, now: float) -> int:
+    def reserved_tasks(self, urgency: Urgency, now: float) -> int:
         """Return the number of urgent tasks for which a class leaves capacity."""
         decay = 0.5 ** ((now - self.peak_at) / PEAK_HALF_LIFE)
-        expected = self.peak * decay * HEADROOM_TIME
-        if expected < NEGLIGIBLE or urgency is Urgency.URGENT:
+        expected = self.peak * decay * HEADROOM_WINDOW
+        if expected < NEGLIGIBLE_TASKS or urgency is Urgency.URGENT:
             return 0
-        freed = self.ends.present(now) * HEADROOM_TIME
+        freed = self.ends.current(now) * HEADROOM_WINDOW
         margin = HEADROOM_MARGIN[urgency] * expected**0.5
         return math.ceil(max(0.0, expected - freed) + margin)
 
@@ -133,7 +133,7 @@
 
     def take(self, count: int, urgency: Urgency) -> bool:
         """Reserve ``count`` bytes unless that exceeds the limit of the class."""
-        if self.held + count > self.limit * SHED_AT[urgency]:
+        if self.held + count > self.limit * SHED_FRACTION[urgency]:
             return False
         self.held += count
         return True
@@ -157,4 +157,4 @@
 
     def admits(self, waiting: int, urgency: Urgency) -> bool:
         """Return whether one more item of the class is admitted."""
-        return waiting < self.limit * SHED_AT[urgency]
+        return waiting < self.limit * SHED_FRACTION[urgency]
--- a/siskinroad/placement.py
+++ b/siskinroad/placement.py
@@ -10,11 +10,11 @@
 __all__ = ["MAX_PROBES", "HostIndex", "HostView"]
 
 # Levels into which the free processors and the free memory of hosts are divided.
-LEVELS = 16
+RESOURCE_LEVELS = 16
 # Most hosts that one search looks at; it bounds the time of a search.
 MAX_PROBES = 64
 # Fitting hosts after which a search stops; the best of them is taken.
-CHOICES = 6
+MAX_FITTING_HOSTS = 6
 # Most levels into which the free slots of hosts are divided; it bounds the memory of
 # an index of hosts with many slots.
 MAX_SLOT_LEVELS = 64
@@ -78,8 +78,8 @@
 
     def count(self, need: Resources) -> int:
         """Return how many tasks that each take ``need`` fit on the host."""
-        room = min(self.slots, self.limit - (self.capacity.slots - self.slots))
-        best = room // max(need.slots, 1)
+        free_tasks = min(self.slots, self.limit - (self.capacity.slots - self.slots))
+        best = free_tasks // max(need.slots, 1)
         if need.cpu_milli:
             best = min(best, self.cpu // need.cpu_milli)
         if need.memory_mib:
@@ -114,14 +114,14 @@
         self.free_memory = 0
         self.free_accelerators = 0
         self.free_slots = 0
-        self._steps = (
-            LEVELS,
-            LEVELS,
+        self._level_counts = (
+            RESOURCE_LEVELS,
+            RESOURCE_LEVELS,
             capacity.accelerators or 1,
             min(capacity.slots, MAX_SLOT_LEVELS),
         )
         self._rows: list[list[dict[str, HostView]]] = [
-            [{} for _ in range(steps + 1)] for steps in self._steps
+            [{} for _ in range(level_counts + 1)] for level_counts in self._level_counts
         ]
 
     def add(self, host: HostView) -> None:
@@ -141,7 +141,7 @@
         """Update a host's levels after ``open`` or its free capacity has changed."""
         if host.counted != host.open:
             host.counted = host.open
-            self._count(host, 1 if host.open else -1)
+            self._add_to_sums(host, 1 if host.open else -1)
         levels = self._levels_of(host) if host.open and host.slots > 0 else []
         if levels == host.levels:
             return
@@ -151,7 +151,7 @@
             row[level][host.name] = host
         host.levels = levels
 
-    def _count(self, host: HostView, sign: int) -> None:
+    def _add_to_sums(self, host: HostView, sign: int) -> None:
         self.free_cpu += sign * host.cpu
         self.free_memory += sign * host.memory
         self.free_accelerators += sign * host.accelerators
@@ -159,12 +159,12 @@
 
     def _levels_of(self, host: HostView) -> list[int]:
         cap = self.capacity
-        steps = self._steps
+        level_counts = self._level_counts
         return [
-            host.cpu * steps[0] // cap.cpu_milli,
-            host.memory * steps[1] // cap.memory_mib,
+            host.cpu * level_counts[0] // cap.cpu_milli,
+            host.memory * level_counts[1] // cap.memory_mib,
             host.accelerators,
-            host.slots * steps[3] // cap.slots,
+            host.slots * level_counts[3] // cap.slots,
         ]
 
     def _row_for(self, need: Resources) -> tuple[list[dict[str, HostView]], int]:
@@ -179,7 +179,7 @@
             need.slots / cap.slots,
         )
         best = max(range(len(parts)), key=parts.__getitem__)
-        return self._rows[best], int(parts[best] * self._steps[best])
+        return self._rows[best], int(parts[best] * self._level_counts[best])
 
     def take(self, host: HostView, task: str, need: Resources, workload: str) -> None:
         """Allocate ``need`` on a host to a task."""
@@ -191,9 +191,9 @@
     def give_back(self, host: HostView, task: str, workload: str) -> None:
         """Release the resources of a task."""
         need = host.tasks.pop(task)
-        left = host.members[workload] - 1
-        if left:
-            host.members[workload] = left
+        remaining = host.members[workload] - 1
+        if remaining:
+            host.members[workload] = remaining
         else:
             del host.members[workload]
         self._change(host, need, 1)
@@ -201,8 +201,8 @@
     def resize(self, host: HostView, task: str, need: Resources) -> None:
         """Change the allocation of a task, up to the free capacity of the host."""
         self._change(host, host.tasks[task], 1)
-        room = Resources(host.cpu, host.memory, need.accelerators, need.slots)
-        need = need.clip(room)
+        free = Resources(host.cpu, host.memory, need.accelerators, need.slots)
+        need = need.clip(free)
         host.tasks[task] = need
         self._change(host, need, -1)
 
@@ -219,7 +219,7 @@
         self.refresh(host)
 
     def tightest(
-        self, need: Resources, avoid: set[str], closed: set[str]
+        self, need: Resources, avoid: set[str], reserved: set[str]
     ) -> HostView | None:
         """Return the fitting host with the least free capacity, accelerators first.
 
@@ -229,19 +229,19 @@
             Resources that the task takes.
         avoid : set of str
             Hosts on which the task failed.
-        closed : set of str
+        reserved : set of str
             Hosts reserved for other items.
         """
         row, start = self._row_for(need)
         return self._search(
             row[start:],
             need,
-            avoid | closed,
+            avoid | reserved,
             lambda host: (host.accelerators, host.memory),
         )
 
     def widest(
-        self, need: Resources, avoid: set[str], closed: set[str], workload: str
+        self, need: Resources, avoid: set[str], reserved: set[str], workload: str
     ) -> HostView | None:
         """Return a fitting host from among those with the most free capacity.
 
@@ -251,7 +251,7 @@
         return self._search(
             row[start:][::-1],
             need,
-            avoid | closed,
+            avoid | reserved,
             lambda host: (host.members.get(workload, 0), -host.slots),
         )
 
@@ -259,28 +259,28 @@
         self,
         levels: Sequence[dict[str, HostView]],
         need: Resources,
-        barred: set[str],
+        excluded: set[str],
         key: Callable[[HostView], tuple[int, int]],
     ) -> HostView | None:
         """Return the best of the fitting hosts on the first level that has some.
 
-        At most ``CHOICES`` fitting hosts are compared.
+        At most ``MAX_FITTING_HOSTS`` fitting hosts are compared.
         """
         found: list[HostView] = []
         probes = 0
         for level in levels:
             for host in level.values():
                 probes += 1
-                if host.fits(need) and host.name not in barred:
+                if host.fits(need) and host.name not in excluded:
                     found.append(host)
-                if len(found) >= CHOICES or probes >= MAX_PROBES:
+                if len(found) >= MAX_FITTING_HOSTS or probes >= MAX_PROBES:
                     break
             if found or probes >= MAX_PROBES:
                 break
         return min(found, key=key) if found else None
 
     def whole(
-        self, need: Resources, size: int, avoid: set[str], closed: set[str]
+        self, need: Resources, size: int, avoid: set[str], reserved: set[str]
     ) -> list[tuple[HostView, int]] | None:
         """Return hosts for a gang of ``size`` tasks, each with its count, or None.
 
@@ -288,22 +288,22 @@
         to the host with the least free capacity that fits them, so that few hosts
         stay partly free.
         """
-        barred = avoid | closed
+        excluded = avoid | reserved
         chosen: list[tuple[HostView, int]] = []
-        left = size
+        remaining = size
         for host in self._descending(need):
-            if host.name in barred:
+            if host.name in excluded:
                 continue
-            room = host.count(need)
-            if room <= 0:
+            fit_count = host.count(need)
+            if fit_count <= 0:
                 continue
-            if room >= left:
-                taken = barred | {view.name for view, _ in chosen}
-                snug = self.tightest(need.times(left), taken, set())
-                chosen.append((snug or host, left))
+            if fit_count >= remaining:
+                taken = excluded | {view.name for view, _ in chosen}
+                tightest_host = self.tightest(need.times(remaining), taken, set())
+                chosen.append((tightest_host or host, remaining))
                 return chosen
-            chosen.append((host, room))
-            left -= room
+            chosen.append((host, fit_count))
+            remaining -= fit_count
         return None
 
     def _descending(self, need: Resources) -> Iterator[HostView]:
--- a/siskinroad/pressure.py
+++ b/siskinroad/pressure.py
@@ -15,21 +15,21 @@
 
 # Fraction of a host's memory in use at which it gets no new work. The same fraction of
 # its processors throttles background work.
-CLOSE_AT = 0.90
+CLOSE_FRACTION = 0.90
 # Fraction of a host's memory in use at which one task is checkpointed.
-CHECKPOINT_AT = 0.94
+CHECKPOINT_FRACTION = 0.94
 # Fraction of a host's memory in use at which one task is stopped, even if it cannot be
 # checkpointed. With a larger value the host may run out of memory first.
-STOP_AT = 0.98
+STOP_FRACTION = 0.98
 # Factor by which the allocated memory of a task exceeds its reported use.
 GROWTH_MARGIN = 1.1
 # Evictions in progress in a pool at a time. A larger value interrupts more work than
 # the waiting work needs.
 MAX_EVICTIONS = 8
 # Latest evictable attempts that one search looks at; it bounds the time of a search.
-MAX_SEARCH = 32
+MAX_SEARCHED_RUNS = 32
 # Seconds for which an owner must lack its fair share before it is reclaimed.
-RETURN_TIME = 30.0
+RECLAIM_DELAY = 30.0
 # Difference from the fair share that is ignored, as a fraction of the total. Without
 # it, work would be evicted for rounding differences.
 SHARE_TOLERANCE = 0.02
@@ -43,7 +43,7 @@
     def __init__(self, shard: Shard, attempts: Attempts) -> None:
         self.shard = shard
         self.attempts = attempts
-        self._pressed: set[str] = set()
+        self._closed_hosts: set[str] = set()
 
     def usage(self, host: str, reports: list[UsageReport]) -> list[Effect]:
         """Process a host's usage report, which lags, and react in steps.
@@ -64,10 +64,12 @@
                 continue
             memory += usage.memory_mib
             cpu += usage.cpu_milli
-            self._grow(run, member, view, usage)
-        return self._react(view, memory, cpu)
+            self._grow_allocation(run, member, view, usage)
+        return self._react_to_usage(view, memory, cpu)
 
-    def _grow(self, run: Running, member: int, view: HostView, usage: Usage) -> None:
+    def _grow_allocation(
+        self, run: Running, member: int, view: HostView, usage: Usage
+    ) -> None:
         run.note_usage(member, usage)
         task = task_name(run.item.key, member)
         held = view.tasks[task]
@@ -77,22 +79,22 @@
         need = Resources(held.cpu_milli, wanted, held.accelerators, held.slots)
         self.shard.pool_state(view.name).index.resize(view, task, need)
 
-    def _react(self, view: HostView, memory: int, cpu: int) -> list[Effect]:
-        full = memory / view.capacity.memory_mib
-        self._press(view, full >= CLOSE_AT)
-        effects = self._throttle(view, cpu / view.capacity.cpu_milli >= CLOSE_AT)
-        if full >= STOP_AT:
-            effects += self._relieve(view, Control.STOP)
-        elif full >= CHECKPOINT_AT:
-            effects += self._relieve(view, Control.CHECKPOINT)
+    def _react_to_usage(self, view: HostView, memory: int, cpu: int) -> list[Effect]:
+        memory_fraction = memory / view.capacity.memory_mib
+        self._set_closed(view, memory_fraction >= CLOSE_FRACTION)
+        effects = self._throttle(view, cpu / view.capacity.cpu_milli >= CLOSE_FRACTION)
+        if memory_fraction >= STOP_FRACTION:
+            effects += self._free_memory(view, Control.STOP)
+        elif memory_fraction >= CHECKPOINT_FRACTION:
+            effects += self._free_memory(view, Control.CHECKPOINT)
         return effects
 
-    def _press(self, view: HostView, pressed: bool) -> None:
-        if pressed:
-            self._pressed.add(view.name)
+    def _set_closed(self, view: HostView, overloaded: bool) -> None:
+        if overloaded:
+            self._closed_hosts.add(view.name)
             view.limit = 0
-        elif view.name in self._pressed:
-            self._pressed.discard(view.name)
+        elif view.name in self._closed_hosts:
+            self._closed_hosts.discard(view.name)
             limit = self.shard.limits[view.name].whole
             view.limit = 1 if view.state == "probation" else limit
 
@@ -101,20 +103,20 @@
         runs = [self.shard.running[key] for key in keys if key in self.shard.running]
         return sorted(runs, key=lambda run: (-run.item.workload.urgency, -run.started))
 
-    def _throttle(self, view: HostView, pressed: bool) -> list[Effect]:
+    def _throttle(self, view: HostView, overloaded: bool) -> list[Effect]:
         effects: list[Effect] = []
         for run in self._runs_on(view):
             background = run.item.workload.urgency is Urgency.BACKGROUND
-            if run.item.workload.kind == "service" or run.throttled == pressed:
+            if run.item.workload.kind == "service" or run.throttled == overloaded:
                 continue
-            if pressed and not background:
+            if overloaded and not background:
                 continue
-            run.throttled = pressed
-            do = Control.THROTTLE if pressed else Control.RESUME
+            run.throttled = overloaded
+            do = Control.THROTTLE if overloaded else Control.RESUME
             effects += self.attempts.control(run, do)
         return effects
 
-    def _relieve(self, view: HostView, do: Control) -> list[Effect]:
+    def _free_memory(self, view: HostView, do: Control) -> list[Effect]:
         runs = [r for r in self._runs_on(view) if r.item.workload.kind != "service"]
         if any(run.evicting or run.stopping for run in runs):
             return []
@@ -130,32 +132,32 @@
         self.shard.pools[run.item.workload.pool].evicting += 1
         return self.attempts.control(run, do)
 
-    def for_urgent(self, state: PoolState) -> list[Effect]:
+    def preempt_for_urgent(self, state: PoolState) -> list[Effect]:
         """Checkpoint background work if urgent work waits for a host."""
         waiting = sum(lane.live for lane in self.shard.urgent_lanes(state.pool.name))
         wanted = min(waiting, MAX_EVICTIONS) - state.evicting
         effects: list[Effect] = []
         need = state.urgent_need
-        for run in list(reversed(state.evictable.values()))[:MAX_SEARCH]:
+        for run in list(reversed(state.evictable.values()))[:MAX_SEARCHED_RUNS]:
             if wanted <= 0:
                 break
-            if not run.evicting and self._frees(run, need):
+            if not run.evicting and self._would_fit(run, need):
                 effects += self._evict(run, Control.CHECKPOINT)
                 wanted -= 1
         return effects
 
-    def _frees(self, run: Running, need: Resources) -> bool:
+    def _would_fit(self, run: Running, need: Resources) -> bool:
         for member, host in run.hosts.items():
             view = self.shard.view(host)
             if view is None or not view.open:
                 continue
             held = view.tasks[task_name(run.item.key, member)]
-            room = Resources(view.cpu, view.memory, view.accelerators, view.slots)
-            if need.fits(room + held):
+            free = Resources(view.cpu, view.memory, view.accelerators, view.slots)
+            if need.fits(free + held):
                 return True
         return False
 
-    def reclaim(self, now: float) -> list[Effect]:
+    def reclaim_shares(self, now: float) -> list[Effect]:
         """Evict work to return lent shares to owners that have lacked them for long."""
         effects: list[Effect] = []
         for state in self.shard.pools.values():
@@ -163,21 +165,23 @@
         return effects
 
     def _reclaim_pool(self, state: PoolState, now: float) -> list[Effect]:
-        hungry = self._hungry(state)
-        for owner in list(state.hungry_since):
-            if owner not in hungry:
-                del state.hungry_since[owner]
-        for owner in sorted(hungry):
-            state.hungry_since.setdefault(owner, now)
+        underserved = self._find_underserved(state)
+        for owner in list(state.underserved_since):
+            if owner not in underserved:
+                del state.underserved_since[owner]
+        for owner in sorted(underserved):
+            state.underserved_since.setdefault(owner, now)
         due = [
-            o for o, since in state.hungry_since.items() if now - since > RETURN_TIME
+            o
+            for o, since in state.underserved_since.items()
+            if now - since > RECLAIM_DELAY
         ]
         if not due or state.evicting >= MAX_EVICTIONS:
             return []
-        victim = self._greediest(state, set(due))
+        victim = self._find_most_over_share(state, set(due))
         return self._evict(victim, Control.CHECKPOINT) if victim else []
 
-    def _hungry(self, state: PoolState) -> set[str]:
+    def _find_underserved(self, state: PoolState) -> set[str]:
         waiting = {
             lane.workload.owner
             for lanes in self.shard.waiting.active.values()
@@ -188,18 +192,18 @@
         return {
             owner
             for owner in waiting
-            if shares.share(owner) + SHARE_TOLERANCE < shares.fair_part(owner, waiting)
+            if shares.share(owner) + SHARE_TOLERANCE < shares.fair_share(owner, waiting)
         }
 
-    def _greediest(self, state: PoolState, due: set[str]) -> Running | None:
+    def _find_most_over_share(self, state: PoolState, due: set[str]) -> Running | None:
         shares = self.shard.shares
         best: Running | None = None
         best_excess = SHARE_TOLERANCE
-        for run in list(reversed(state.evictable.values()))[:MAX_SEARCH]:
+        for run in list(reversed(state.evictable.values()))[:MAX_SEARCHED_RUNS]:
             owner = run.item.workload.owner
             if run.evicting or owner in due:
                 continue
-            excess = shares.share(owner) - shares.fair_part(owner, due)
+            excess = shares.share(owner) - shares.fair_share(owner, due)
             if excess > best_excess:
                 best, best_excess = run, excess
         return best
--- a/siskinroad/queues.py
+++ b/siskinroad/queues.py
@@ -25,10 +25,10 @@
 RATE_HALF_LIFE = 10.0
 # Fewest waiting items for which a waiting time is forecast. With fewer, the forecast
 # would refuse items that could still start in time.
-MIN_FORECAST = 8
+MIN_FORECAST_ITEMS = 8
 # Lower bound of the observed fraction of the averaging window. Without it, the rate
 # of starts seen for an instant only would be scaled up without limit.
-MIN_SEEN = 0.05
+MIN_OBSERVED_FRACTION = 0.05
 
 
 @dataclass(slots=True, eq=False)
@@ -129,15 +129,15 @@
     def expected_wait(self, now: float) -> float:
         """Return the seconds that a new item is expected to wait; 0 if unknown.
 
-        With fewer than ``MIN_FORECAST`` waiting items there is no forecast. If
+        With fewer than ``MIN_FORECAST_ITEMS`` waiting items there is no forecast. If
         starts have been observed for part of the averaging window only, their rate
         is scaled up to the whole window.
         """
-        if self.live < MIN_FORECAST or not self.blocked:
+        if self.live < MIN_FORECAST_ITEMS or not self.blocked:
             return 0.0
         decay = 0.5 ** ((now - self.rate_at) / RATE_HALF_LIFE)
-        seen = 1.0 - 0.5 ** ((now - self.rate_since) / RATE_HALF_LIFE)
-        rate = self.rate * decay / max(seen, MIN_SEEN)
+        observed = 1.0 - 0.5 ** ((now - self.rate_since) / RATE_HALF_LIFE)
+        rate = self.rate * decay / max(observed, MIN_OBSERVED_FRACTION)
         return self.live / rate if rate > 0 else 0.0
 
 
@@ -182,14 +182,14 @@
         item = lane.head()
         assert item is not None
         lane.items.popleft()
-        self._shrink(lane)
+        self._count_removed(lane)
         return item
 
     def drop(self, item: Item) -> None:
         """Stop counting an item whose state is no longer ``waiting``."""
-        self._shrink(self.lanes[item.workload.name])
+        self._count_removed(self.lanes[item.workload.name])
 
-    def _shrink(self, lane: Lane) -> None:
+    def _count_removed(self, lane: Lane) -> None:
         lane.live -= 1
         if lane.live == 0:
             lane.items.clear()
--- a/siskinroad/resources.py
+++ b/siskinroad/resources.py
@@ -55,22 +55,22 @@
             self.slots * count,
         )
 
-    def clip(self, room: Resources) -> Resources:
-        """Return this vector with each dimension limited to that of ``room``."""
+    def clip(self, capacity: Resources) -> Resources:
+        """Return this vector with each dimension limited to that of ``capacity``."""
         return Resources(
-            min(self.cpu_milli, room.cpu_milli),
-            min(self.memory_mib, room.memory_mib),
-            min(self.accelerators, room.accelerators),
-            min(self.slots, room.slots),
+            min(self.cpu_milli, capacity.cpu_milli),
+            min(self.memory_mib, capacity.memory_mib),
+            min(self.accelerators, capacity.accelerators),
+            min(self.slots, capacity.slots),
         )
 
-    def fits(self, room: Resources) -> bool:
-        """Return whether no dimension exceeds that of ``room``."""
+    def fits(self, capacity: Resources) -> bool:
+        """Return whether no dimension exceeds that of ``capacity``."""
         return (
-            self.cpu_milli <= room.cpu_milli
-            and self.memory_mib <= room.memory_mib
-            and self.accelerators <= room.accelerators
-            and self.slots <= room.slots
+            self.cpu_milli <= capacity.cpu_milli
+            and self.memory_mib <= capacity.memory_mib
+            and self.accelerators <= capacity.accelerators
+            and self.slots <= capacity.slots
         )
 
     def dominant(self, total: Resources) -> float:
--- a/siskinroad/retries.py
+++ b/siskinroad/retries.py
@@ -9,18 +9,18 @@
 from siskinroad.cell import Workload
 from siskinroad.errors import Outcome, Reason, Refusal
 
-__all__ = ["Budget", "Failure", "Retry", "decide"]
+__all__ = ["Budget", "Failure", "Retry", "decide_retry"]
 
 # Retries earned by each first try. A larger value adds more load to upstreams that
 # already fail.
-BUDGET_RATIO = 0.1
+BUDGET_PER_TRY = 0.1
 # Retries that an owner may make before it has earned any.
-BUDGET_FLOOR = 10.0
+INITIAL_BUDGET = 10.0
 # Most retries that an owner can save up; it bounds a burst of retries.
-BUDGET_MAX = 100.0
+MAX_BUDGET = 100.0
 # First and longest backoff in seconds; it doubles with each try.
 FIRST_BACKOFF = 0.05
-LONGEST_BACKOFF = 5.0
+MAX_BACKOFF = 5.0
 
 
 class Failure(StrEnum):
@@ -50,11 +50,11 @@
     the load in the long run. Repeating a try that was never sent costs nothing.
     """
 
-    tokens: float = BUDGET_FLOOR
+    tokens: float = INITIAL_BUDGET
 
     def earn(self) -> None:
         """Add what one first try earns."""
-        self.tokens = min(self.tokens + BUDGET_RATIO, BUDGET_MAX)
+        self.tokens = min(self.tokens + BUDGET_PER_TRY, MAX_BUDGET)
 
     def spend(self) -> bool:
         """Take one retry from the budget; return whether there was one."""
@@ -64,7 +64,7 @@
         return True
 
 
-def decide(
+def decide_retry(
     workload: Workload,
     failure: Failure,
     tries: int,
@@ -83,16 +83,16 @@
     Retry or Refusal
         A refusal has the outcome "not run" only if the try certainly did not run.
     """
-    ran = failure in (Failure.UNKNOWN, Failure.FAILED)
-    if ran and not workload.idempotent:
+    may_have_run = failure in (Failure.UNKNOWN, Failure.FAILED)
+    if may_have_run and not workload.idempotent:
         return _refuse(Reason.UPSTREAM_FAILED, Outcome.UNKNOWN)
-    outcome = Outcome.UNKNOWN if ran else Outcome.NOT_RUN
+    outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
     if tries > workload.retries:
         return _refuse(Reason.RETRIES_EXHAUSTED, outcome)
     if failure is not Failure.NOT_SENT and not budget.spend():
         return _refuse(Reason.RETRIES_EXHAUSTED, outcome)
-    longest = min(FIRST_BACKOFF * 2 ** (tries - 1), LONGEST_BACKOFF)
-    return Retry(rng.uniform(longest / 2, longest))
+    max_delay = min(FIRST_BACKOFF * 2 ** (tries - 1), MAX_BACKOFF)
+    return Retry(rng.uniform(max_delay / 2, max_delay))
 
 
 def _refuse(reason: Reason, outcome: Outcome) -> Refusal:
--- a/siskinroad/routing.py
+++ b/siskinroad/routing.py
@@ -13,11 +13,11 @@
 HOP_TIME = {Locality.DATA_CENTRE: 0.0, Locality.REGION: 0.001, Locality.ANYWHERE: 0.024}
 # Seconds after which the load of a shard in the same data centre is ignored. A larger
 # value sends requests to shards whose owner is gone.
-STALE_AFTER = 3.0
+STALE_AFTER_LOCAL = 3.0
 # The same for shards in other data centres.
-STALE_ABROAD = 15.0
+STALE_AFTER_REMOTE = 15.0
 # Least expected wait, in seconds, of a shard without a free slot.
-SLOT_TIME = 0.05
+MIN_FULL_WAIT = 0.05
 
 
 @dataclass(slots=True, frozen=True)
@@ -81,7 +81,7 @@
         distance = here.distance(load.place)
         if load.pool != workload.pool or distance > workload.locality:
             continue
-        if load.shard in tried or _stale(load, distance, now):
+        if load.shard in tried or _is_stale(load, distance, now):
             continue
         cost = _cost(workload, load, distance)
         if cost < best_cost - 1e-9:
@@ -94,15 +94,17 @@
     return first if first.free >= second.free else second
 
 
-def _stale(load: ShardLoad, distance: Locality, now: float) -> bool:
-    limit = STALE_AFTER if distance is Locality.DATA_CENTRE else STALE_ABROAD
+def _is_stale(load: ShardLoad, distance: Locality, now: float) -> bool:
+    limit = (
+        STALE_AFTER_LOCAL if distance is Locality.DATA_CENTRE else STALE_AFTER_REMOTE
+    )
     return now - load.heard > limit
 
 
 def _cost(workload: Workload, load: ShardLoad, distance: Locality) -> float:
     wait = load.waits.get(workload.name, 0.0)
     if load.free <= 0:
-        wait = max(wait, SLOT_TIME)
+        wait = max(wait, MIN_FULL_WAIT)
     cost = wait + HOP_TIME[distance]
     if distance is Locality.ANYWHERE:
         cost += workload.byte_cost
--- a/siskinroad/scheduler.py
+++ b/siskinroad/scheduler.py
@@ -95,9 +95,9 @@
         limit = self.shard.limits[name].whole
         view.limit = 1 if view.state == "probation" else limit
         self.shard.pool_state(name).index.refresh(view)
-        self.shard.recount(now)
+        self.shard.update_capacity(now)
         effects = self.lose_tasks(name, now) if view.state == "gone" else []
-        return effects + self._room(view, now)
+        return effects + self._use_free_capacity(view, now)
 
     def lose_tasks(self, name: str, now: float) -> list[Effect]:
         """End every task of a host as lost: it is gone or its leases expired."""
@@ -124,7 +124,7 @@
 
     def submit(self, item: Item, now: float) -> list[Effect]:
         """Queue an item, or refuse it if it fails the admission checks."""
-        refusal = self._door(item, now)
+        refusal = self._admission_refusal(item, now)
         if refusal is not None:
             item.state = self._chart.next(item.state, "refuse")
             return [Refused(item, refusal)]
@@ -142,18 +142,18 @@
         state = self.shard.pools.get(item.workload.pool)
         if state is None:
             return effects
-        state.headroom.arrived(now)
+        state.headroom.count_arrival(now)
         if item.state == "waiting" and not self.paused:
-            effects += self.pressure.for_urgent(state)
+            effects += self.pressure.preempt_for_urgent(state)
         return effects
 
-    def _door(self, item: Item, now: float) -> Refusal | None:
+    def _admission_refusal(self, item: Item, now: float) -> Refusal | None:
         workload = item.workload
         if item.key in self.shard.items:
             return Refusal(Reason.KEY_IN_PROGRESS, step="submit")
-        why = self.why_never(workload)
-        if why:
-            return Refusal(Reason.CAN_NEVER_RUN, step="submit", message=why)
+        reason = self.why_never(workload)
+        if reason:
+            return Refusal(Reason.CAN_NEVER_RUN, step="submit", message=reason)
         lane = self.shard.waiting.lane(workload)
         if lane.live >= workload.queue_limit:
             return Refusal(Reason.QUEUE_FULL, step="submit", retry_after=1.0)
@@ -171,10 +171,12 @@
             return f"no host of {workload.pool} belongs to this shard"
         if not workload.demand.fits(state.pool.capacity):
             return f"one task needs more than a whole host of {workload.pool}"
-        each = HostView("", "", state.pool.capacity).count(workload.demand)
-        most = each * len(state.index.hosts)
-        if workload.size > most:
-            return f"{workload.size} members requested, capacity for at most {most}"
+        per_host = HostView("", "", state.pool.capacity).count(workload.demand)
+        max_members = per_host * len(state.index.hosts)
+        if workload.size > max_members:
+            return (
+                f"{workload.size} members requested, capacity for at most {max_members}"
+            )
         whole = workload.demand.times(workload.size)
         quota = self.shard.cell.owners[workload.owner].quota
         for part in ("cpu_milli", "memory_mib", "accelerators"):
@@ -200,11 +202,11 @@
     def _refuse_waiting(
         self, item: Item, refusal: Refusal, event: str = "refuse"
     ) -> Refused:
-        held_back = item.hold_until > 0
+        is_backing_off = item.hold_until > 0
         item.state = self._chart.next(item.state, event)
         del self.shard.items[item.key]
-        if held_back:
-            self.attempts.drop_held_back(item)
+        if is_backing_off:
+            self.attempts.drop_backing_off(item)
         else:
             self.shard.waiting.drop(item)
         return Refused(item, refusal)
@@ -230,16 +232,16 @@
     ) -> list[Effect]:
         """Record that one member's task has ended on its host."""
         view, effects = self.attempts.ended(key, member, end, now, run_time, usage)
-        effects += self._judge(now)
+        effects += self._apply_pending_verdicts(now)
         if view is None:
             return effects
-        return effects + self._room(view, now)
+        return effects + self._use_free_capacity(view, now)
 
-    def _judge(self, now: float) -> list[Effect]:
+    def _apply_pending_verdicts(self, now: float) -> list[Effect]:
         verdicts, self.attempts.verdicts = self.attempts.verdicts, []
-        return self._apply(verdicts, now)
+        return self._apply_verdicts(verdicts, now)
 
-    def _apply(self, verdicts: list[Verdict], now: float) -> list[Effect]:
+    def _apply_verdicts(self, verdicts: list[Verdict], now: float) -> list[Effect]:
         effects: list[Effect] = []
         for verdict in verdicts:
             effects += self.host_event(verdict.host, verdict.event, now)
@@ -249,7 +251,7 @@
         """Process a host's usage report, which lags behind the actual usage."""
         effects = self.pressure.usage(host, reports)
         view = self.shard.view(host)
-        return effects + (self._room(view, now) if view else [])
+        return effects + (self._use_free_capacity(view, now) if view else [])
 
     # Time
 
@@ -259,25 +261,25 @@
         for item in self.shard.waiting.expired(now):
             refusal = Refusal(Reason.DEADLINE, step="queue", retry_after=1.0)
             effects.append(self._refuse_waiting(item, refusal))
-        self.attempts.release_held_back(now)
-        effects += self._apply(self.shard.health.tick(now), now)
+        self.attempts.release_backed_off(now)
+        effects += self._apply_verdicts(self.shard.health.tick(now), now)
         self.shard.accounts.tick(milliseconds(now))
         self.dispatcher.unblock_some()
         effects += self._dispatch(now)
         if not self.paused:
-            effects += self._make_room(now)
+            effects += self._preempt(now)
         return effects
 
-    def _make_room(self, now: float) -> list[Effect]:
+    def _preempt(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
         for state in self.shard.pools.values():
-            effects += self.pressure.for_urgent(state)
-        return effects + self.pressure.reclaim(now)
+            effects += self.pressure.preempt_for_urgent(state)
+        return effects + self.pressure.reclaim_shares(now)
 
     def next_time(self) -> float:
         """Return the loop time of the next deadline or end of a backoff."""
         deadline = self.shard.waiting.next_deadline()
-        return min(deadline, self.attempts.next_release(), math.inf)
+        return min(deadline, self.attempts.next_backoff_end(), math.inf)
 
     def resume(self, now: float) -> list[Effect]:
         """Allow starts again after ``paused`` or ``requests_only`` was set."""
@@ -295,7 +297,7 @@
     def requests_only(self, value: bool) -> None:
         self.dispatcher.requests_only = value
 
-    def _room(self, view: HostView, now: float) -> list[Effect]:
+    def _use_free_capacity(self, view: HostView, now: float) -> list[Effect]:
         if self.paused:
             return []
         filled = list(self.dispatcher.fill(view, now)) if view.open else []
--- a/siskinroad/shard.py
+++ b/siskinroad/shard.py
@@ -33,11 +33,11 @@
         Host of each member that has not ended yet.
     held : Resources
         Resources allocated to each member at the start.
-    seen : set of int
+    known_members : set of int
         Members that were started here or found running.
     peak : dict of int to Usage
         Highest usage reported for each member.
-    worst : End
+    worst_end : End
         The most severe end of a member so far.
     """
 
@@ -46,10 +46,10 @@
     hosts: dict[int, str]
     held: Resources
     started: float
-    ends: float
+    expected_end: float
     peak: dict[int, Usage] = field(default_factory=dict)
-    seen: set[int] = field(default_factory=set)
-    worst: End = End.DONE
+    known_members: set[int] = field(default_factory=set)
+    worst_end: End = End.DONE
     throttled: bool = False
     evicting: bool = False
     stopping: bool = False
@@ -75,9 +75,9 @@
         Background attempts that can be checkpointed, by item.
     evicting : int
         Evictions in progress.
-    planned : float
+    last_planned : float
         Loop time at which a reservation was last planned.
-    hungry_since : dict of str to float
+    underserved_since : dict of str to float
         Loop time since which an owner has lacked its fair share.
     """
 
@@ -85,11 +85,11 @@
     index: HostIndex
     headroom: Headroom = field(default_factory=Headroom)
     reservations: dict[str, Reservation] = field(default_factory=dict)
-    planned: float = -1e9
+    last_planned: float = -1e9
     urgent_need: Resources = NOTHING
     evictable: dict[str, Running] = field(default_factory=dict)
     evicting: int = 0
-    hungry_since: dict[str, float] = field(default_factory=dict)
+    underserved_since: dict[str, float] = field(default_factory=dict)
     size_asked: dict[str, int] = field(default_factory=dict)
 
 
@@ -146,14 +146,14 @@
         state.index.add(HostView(host.name, host.rack, pool.capacity))
         self.pool_of[host.name] = host.pool
         self.limits[host.name] = ConcurrencyLimit(pool.capacity.slots)
-        self.recount(now)
+        self.update_capacity(now)
 
     def remove_host(self, name: str, now: float) -> None:
         """Remove a host that runs no task."""
         self.pools[self.pool_of.pop(name)].index.remove(name)
         self.health.forget(name)
         del self.limits[name]
-        self.recount(now)
+        self.update_capacity(now)
 
     def view(self, name: str) -> HostView | None:
         """Return the named host, or None if the shard does not have it."""
@@ -169,7 +169,7 @@
         """Return the state of the pool of a host."""
         return self.pools[self.pool_of[host]]
 
-    def recount(self, now: float) -> None:
+    def update_capacity(self, now: float) -> None:
         """Recompute the total capacity of which shares are computed."""
         total = NOTHING
         for view in self.views():
@@ -178,7 +178,9 @@
         self.shares.set_total(total, now)
         self.accounts.set_capacity(total, milliseconds(now))
 
-    def hold(self, workload: Workload, held: Resources, sign: int, now: float) -> None:
+    def charge(
+        self, workload: Workload, held: Resources, sign: int, now: float
+    ) -> None:
         """Add resources to the allocation of a workload's owner or subtract them.
 
         Parameters
--- a/siskinroad/shares.py
+++ b/siskinroad/shares.py
@@ -14,7 +14,7 @@
 LOOK_AHEAD = 20.0
 # Time constant of the decay of past use, in seconds. With a smaller value, an owner
 # that has used much capacity ranks with the others again too soon.
-MEMORY = 600.0
+DECAY_TIME = 600.0
 
 
 @dataclass(slots=True)
@@ -30,7 +30,7 @@
     """Allocations and past use of each owner.
 
     An owner's rank is its dominant share integrated over time and decayed over
-    ``MEMORY`` seconds, plus what its present allocation adds in the next
+    ``DECAY_TIME`` seconds, plus what its present allocation adds in the next
     ``LOOK_AHEAD`` seconds, divided by the owner's weight. The owner with the lowest
     rank goes first.
     """
@@ -50,7 +50,7 @@
     def set_total(self, total: Resources, now: float) -> None:
         """Set the total capacity of which shares are computed."""
         for account in self._accounts.values():
-            self._settle(account, now)
+            self._accrue(account, now)
         self.total = total
         for account in self._accounts.values():
             account.share = account.held.dominant(total)
@@ -58,7 +58,7 @@
     def change(self, name: str, held: Resources, sign: int, now: float) -> None:
         """Add resources to an owner's allocation (sign 1) or subtract them (-1)."""
         account = self._account(name)
-        self._settle(account, now)
+        self._accrue(account, now)
         account.held = account.held + held if sign > 0 else account.held - held
         account.share = account.held.dominant(self.total)
 
@@ -69,7 +69,7 @@
     def rank(self, name: str, now: float) -> float:
         """Return an owner's rank; the lowest goes first."""
         account = self._account(name)
-        self._settle(account, now)
+        self._accrue(account, now)
         return (account.served + account.share * LOOK_AHEAD) / account.owner.weight
 
     def within_quota(self, name: str, need: Resources) -> bool:
@@ -78,12 +78,12 @@
         quota = account.owner.quota
         held = account.held
         return (
-            _within(held.cpu_milli + need.cpu_milli, quota.cpu_milli)
-            and _within(held.memory_mib + need.memory_mib, quota.memory_mib)
-            and _within(held.accelerators + need.accelerators, quota.accelerators)
+            _is_within(held.cpu_milli + need.cpu_milli, quota.cpu_milli)
+            and _is_within(held.memory_mib + need.memory_mib, quota.memory_mib)
+            and _is_within(held.accelerators + need.accelerators, quota.accelerators)
         )
 
-    def fair_part(self, name: str, backlogged: set[str]) -> float:
+    def fair_share(self, name: str, backlogged: set[str]) -> float:
         """Return the fraction of the total due to an owner among those with work."""
         weights = {x: self._account(x).owner.weight for x in backlogged | {name}}
         return weights[name] / sum(weights.values())
@@ -99,14 +99,14 @@
             self._accounts[name] = account
         return account
 
-    def _settle(self, account: _Account, now: float) -> None:
+    def _accrue(self, account: _Account, now: float) -> None:
         passed = now - account.since
         if passed <= 0:
             return
-        keep = max(0.0, 1.0 - passed / MEMORY)
-        account.served = account.served * keep + account.share * passed
+        retained = max(0.0, 1.0 - passed / DECAY_TIME)
+        account.served = account.served * retained + account.share * passed
         account.since = now
 
 
-def _within(value: int, quota: int) -> bool:
+def _is_within(value: int, quota: int) -> bool:
     return quota == 0 or value <= quota
