--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -8,7 +8,7 @@
 
 @settings(derandomize=True, deadline=None)
 @given(st.integers(0, 10**15), st.lists(st.floats(0, 1e6), min_size=1, max_size=60))
-def test_parts_sum_to_the_whole(amount, weights):
+def test_apportioned_parts_sum_to_the_amount(amount, weights):
     assert sum(apportion(amount, weights)) == amount
 
 
@@ -19,21 +19,21 @@
         max_size=40,
     )
 )
-def test_use_and_idle_sum_to_the_capacity_exactly(steps):
+def test_used_and_idle_amounts_sum_to_the_capacity(steps):
     owners = {n: Owner(n, w, i, NOTHING) for n, w, i in [("a", 3, 1), ("b", 1, 2)]}
     accounts = Accounts(owners, 0)
     accounts.set_capacity(Resources(320_000, 999_999, 7, 80), 0)
     held = dict.fromkeys("abc", 0)
     now = 0
-    one = Resources(1000, 333, 1, 1)
-    for passed, name, more in steps:
+    member = Resources(1000, 333, 1, 1)
+    for passed, name, adds in steps:
         now += passed
-        if more and sum(held.values()) < 7:
+        if adds and sum(held.values()) < 7:
             held[name] += 1
-            accounts.change(name, one, 1, now)
-        elif not more and held[name]:
+            accounts.change(name, member, 1, now)
+        elif not adds and held[name]:
             held[name] -= 1
-            accounts.change(name, one, -1, now)
+            accounts.change(name, member, -1, now)
         accounts.tick(now)
     accounts.settle(now)
     totals = accounts.totals()
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,57 +7,84 @@
 from siskinroad.routing import Place, ShardLoad, choose
 
 HERE = Place("east-1", "east")
-NEXT = Place("east-2", "east")
-FAR = Place("west-1", "west")
-WORK = parse_cell(small_cell()).workloads["quote"]
+SAME_REGION = Place("east-2", "east")
+OTHER_REGION = Place("west-1", "west")
+QUOTE = parse_cell(small_cell()).workloads["quote"]
 
 
-def load(place, free=5, wait=0.0, heard=100.0):
+def shard_load(place, free=5, wait=0.0, heard=100.0):
     name = f"booking/{place.data_centre}/0"
     return ShardLoad(name, "booking", "d", place, free, {"quote": wait}, heard)
 
 
-def pick(*loads, tried=(), workload=WORK):
+def choose_place(*loads, tried=(), workload=QUOTE):
     rng = random.Random(1)
     found = choose(workload, list(loads), HERE, set(tried), 100.0, rng)
     return found.place if found else None
 
 
-def test_home_goes_first_then_the_region_then_abroad():
-    assert pick(load(FAR), load(NEXT), load(HERE)) == HERE
-    assert pick(load(FAR), load(NEXT), load(HERE, 0, 9.0)) == NEXT
-    assert pick(load(FAR), load(HERE, 0, 0.4)) == HERE
-    assert pick(load(FAR), load(HERE, 0, 0.6)) == FAR
-    assert pick(load(FAR), load(HERE), tried=["booking/east-1/0"]) == FAR
+def test_data_centre_is_preferred_then_region_then_other_regions():
+    assert (
+        choose_place(
+            shard_load(OTHER_REGION), shard_load(SAME_REGION), shard_load(HERE)
+        )
+        == HERE
+    )
+    assert (
+        choose_place(
+            shard_load(OTHER_REGION), shard_load(SAME_REGION), shard_load(HERE, 0, 9.0)
+        )
+        == SAME_REGION
+    )
+    assert choose_place(shard_load(OTHER_REGION), shard_load(HERE, 0, 0.4)) == HERE
+    assert (
+        choose_place(shard_load(OTHER_REGION), shard_load(HERE, 0, 0.6)) == OTHER_REGION
+    )
+    assert (
+        choose_place(
+            shard_load(OTHER_REGION), shard_load(HERE), tried=["booking/east-1/0"]
+        )
+        == OTHER_REGION
+    )
 
 
-def test_old_news_and_other_pools_are_not_used():
-    assert pick(load(HERE, heard=96.9), load(FAR)) == FAR
-    assert pick(load(FAR, heard=84.0)) is None
-    other = load(HERE)
+def test_stale_loads_and_other_pools_are_ignored():
+    assert (
+        choose_place(shard_load(HERE, heard=96.9), shard_load(OTHER_REGION))
+        == OTHER_REGION
+    )
+    assert choose_place(shard_load(OTHER_REGION, heard=84.0)) is None
+    other = shard_load(HERE)
     other.pool = "render"
-    assert pick(other) is None
+    assert choose_place(other) is None
 
 
 @pytest.mark.parametrize(
     ("locality", "place"),
-    [(Locality.DATA_CENTRE, None), (Locality.REGION, NEXT), (Locality.ANYWHERE, NEXT)],
+    [
+        (Locality.DATA_CENTRE, None),
+        (Locality.REGION, SAME_REGION),
+        (Locality.ANYWHERE, SAME_REGION),
+    ],
 )
 def test_a_request_stays_within_its_locality(locality, place):
     text = small_cell().replace(
         "idempotent = true", f'idempotent = true\nlocality = "{locality.name.lower()}"'
     )
-    work = parse_cell(text).workloads["quote"]
-    assert pick(load(NEXT), load(FAR), workload=work) == place
+    quote = parse_cell(text).workloads["quote"]
+    assert (
+        choose_place(shard_load(SAME_REGION), shard_load(OTHER_REGION), workload=quote)
+        == place
+    )
 
 
-def test_equal_shards_share_the_load():
-    first, second = load(HERE), load(HERE)
+def test_freer_of_two_equal_shards_is_chosen():
+    first, second = shard_load(HERE), shard_load(HERE)
     second.shard = "booking/east-1/1"
     rng = random.Random(1)
     found = [
-        choose(WORK, [first, second], HERE, set(), 100.0, rng).shard for _ in range(99)
+        choose(QUOTE, [first, second], HERE, set(), 100.0, rng).shard for _ in range(99)
     ]
     assert set(found) <= {first.shard, second.shard}
     second.free = 1
-    assert choose(WORK, [first, second], HERE, set(), 100.0, rng) is first
+    assert choose(QUOTE, [first, second], HERE, set(), 100.0, rng) is first
