--- a/siskinroad/dispatch.py
+++ b/siskinroad/dispatch.py
@@ -278,8 +278,8 @@
         self, state: PoolState, held: Reservation, need: Resources, size: int
     ) -> bool:
         hosts = state.index.hosts
-        room = sum(hosts[name].count(need) for name in held.hosts if name in hosts)
-        return room >= size
+        fitting = sum(hosts[name].count(need) for name in held.hosts if name in hosts)
+        return fitting >= size
 
     def unblock_all(self) -> None:
         """Mark every lane as unblocked, so that it is tried again."""
--- a/siskinroad/estimates.py
+++ b/siskinroad/estimates.py
@@ -1,4 +1,7 @@
-"""Estimates of the size and run time of tasks, learned for each workload."""
+"""Estimates of the size and run time of tasks, learned for each workload.
+
+They are learned from usage reports, which lag behind the actual usage.
+"""
 
 from __future__ import annotations
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,13 +16,9 @@
 
 
 def test_the_least_urgent_is_shed_first():
-    admission = Door(100)
-    assert [admission.admits(80, urgency) for urgency in Urgency] == [True, True, False]
-    assert [admission.admits(95, urgency) for urgency in Urgency] == [
-        True,
-        False,
-        False,
-    ]
+    limit = Door(100)
+    assert [limit.admits(80, urgency) for urgency in Urgency] == [True, True, False]
+    assert [limit.admits(95, urgency) for urgency in Urgency] == [True, False, False]
     byte_limit = ByteLimit(1000)
     assert byte_limit.take(650, Urgency.BACKGROUND)
     assert not byte_limit.take(100, Urgency.BACKGROUND)
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -7,8 +7,8 @@
 from siskinroad.routing import Place, ShardLoad, choose
 
 HERE = Place("east-1", "east")
-SAME_REGION = Place("east-2", "east")
-OTHER_REGION = Place("west-1", "west")
+NEAR = Place("east-2", "east")
+FAR = Place("west-1", "west")
 QUOTE = parse_cell(small_cell()).workloads["quote"]
 
 
@@ -24,36 +24,22 @@
 
 
 def test_data_centre_is_preferred_then_region_then_other_regions():
+    assert choose_place(shard_load(FAR), shard_load(NEAR), shard_load(HERE)) == HERE
     assert (
-        choose_place(
-            shard_load(OTHER_REGION), shard_load(SAME_REGION), shard_load(HERE)
-        )
-        == HERE
+        choose_place(shard_load(FAR), shard_load(NEAR), shard_load(HERE, 0, 9.0))
+        == NEAR
     )
+    assert choose_place(shard_load(FAR), shard_load(HERE, 0, 0.4)) == HERE
+    assert choose_place(shard_load(FAR), shard_load(HERE, 0, 0.6)) == FAR
     assert (
-        choose_place(
-            shard_load(OTHER_REGION), shard_load(SAME_REGION), shard_load(HERE, 0, 9.0)
-        )
-        == SAME_REGION
-    )
-    assert choose_place(shard_load(OTHER_REGION), shard_load(HERE, 0, 0.4)) == HERE
-    assert (
-        choose_place(shard_load(OTHER_REGION), shard_load(HERE, 0, 0.6)) == OTHER_REGION
-    )
-    assert (
-        choose_place(
-            shard_load(OTHER_REGION), shard_load(HERE), tried=["booking/east-1/0"]
-        )
-        == OTHER_REGION
+        choose_place(shard_load(FAR), shard_load(HERE), tried=["booking/east-1/0"])
+        == FAR
     )
 
 
 def test_stale_loads_and_other_pools_are_ignored():
-    assert (
-        choose_place(shard_load(HERE, heard=96.9), shard_load(OTHER_REGION))
-        == OTHER_REGION
-    )
-    assert choose_place(shard_load(OTHER_REGION, heard=84.0)) is None
+    assert choose_place(shard_load(HERE, heard=96.9), shard_load(FAR)) == FAR
+    assert choose_place(shard_load(FAR, heard=84.0)) is None
     other = shard_load(HERE)
     other.pool = "render"
     assert choose_place(other) is None
@@ -63,8 +49,8 @@
     ("locality", "place"),
     [
         (Locality.DATA_CENTRE, None),
-        (Locality.REGION, SAME_REGION),
-        (Locality.ANYWHERE, SAME_REGION),
+        (Locality.REGION, NEAR),
+        (Locality.ANYWHERE, NEAR),
     ],
 )
 def test_a_request_stays_within_its_locality(locality, place):
@@ -72,10 +58,7 @@
         "idempotent = true", f'idempotent = true\nlocality = "{locality.name.lower()}"'
     )
     quote = parse_cell(text).workloads["quote"]
-    assert (
-        choose_place(shard_load(SAME_REGION), shard_load(OTHER_REGION), workload=quote)
-        == place
-    )
+    assert choose_place(shard_load(NEAR), shard_load(FAR), workload=quote) == place
 
 
 def test_freer_of_two_equal_shards_is_chosen():
