--- a/siskinroad/gangs.py
+++ b/siskinroad/gangs.py
@@ -1,9 +1,9 @@
-"""Reservations for gangs, and backfill that does not delay them.
+"""Reservations of hosts for gangs, and backfill that does not delay them.
 
-When a gang is the next in order and does not fit, hosts are chosen whose
-running tasks are expected to end soonest. Other work may use these hosts only
-if it is expected to end before the gang's start. Reservations never share a
-host, so two gangs never hold parts of what the other needs.
+When a gang is next and does not fit, the hosts whose running tasks are expected to
+end soonest are reserved for it. Other work may use these hosts only if it is
+expected to end before the gang starts. Two reservations never share a host, so
+two gangs cannot deadlock, each with a part of the capacity that the other needs.
 """
 
 from __future__ import annotations
@@ -17,37 +17,38 @@
 
 __all__ = ["Reservation", "plan_reservation"]
 
+# Most hosts considered for one reservation; it bounds the time of planning.
 MAX_CANDIDATES = 128
 
 
 @dataclass(slots=True)
 class Reservation:
-    """Hosts held for one gang.
+    """Hosts reserved for one gang.
 
     Attributes
     ----------
     key : str
-        The gang.
+        Key of the gang.
     hosts : set of str
-        Hosts that other work may use only until ``start``.
+        Names of the hosts; other work may use them only until ``start``.
     start : float
         Loop time at which all members are expected to fit.
-    made : float
-        Loop time at which this was worked out.
+    planned_at : float
+        Loop time at which the reservation was planned.
     """
 
     key: str
     hosts: set[str]
     start: float
-    made: float
+    planned_at: float
 
-    def admits(self, ends: float) -> bool:
-        """Return whether work expected to end at ``ends`` may use the hosts."""
-        return ends <= self.start
+    def admits(self, expected_end: float) -> bool:
+        """Return whether work that ends at ``expected_end`` may use the hosts."""
+        return expected_end <= self.start
 
 
 @dataclass(slots=True)
-class _Room:
+class _FreeCapacity:
     cpu: int
     memory: int
     accelerators: int
@@ -75,34 +76,35 @@
     need: Resources,
     size: int,
     hosts: list[HostView],
-    ends: Callable[[str], float],
+    expected_end: Callable[[str], float],
     now: float,
 ) -> Reservation | None:
-    """Choose hosts for a gang that does not fit yet.
+    """Plan a reservation for a gang that does not fit yet.
 
     Parameters
     ----------
     need : Resources
-        What one member takes.
+        Resources that one member takes.
     hosts : list of HostView
-        Candidates; at most ``MAX_CANDIDATES`` are looked at.
-    ends : callable
+        Candidates; the first ``MAX_CANDIDATES`` are considered.
+    expected_end : callable
         Returns the loop time at which a task is expected to end.
 
     Returns
     -------
     Reservation or None
-        None if the candidates could not hold the gang even when empty.
+        None if the gang would not fit even after all tasks that are expected to end
+        have ended.
     """
     events: list[tuple[float, int, HostView, Resources]] = []
-    rooms: dict[str, _Room] = {}
+    free: dict[str, _FreeCapacity] = {}
     counts: dict[str, int] = {}
     for host in hosts[:MAX_CANDIDATES]:
-        room = _Room(host.cpu, host.memory, host.accelerators, host.slots)
-        rooms[host.name] = room
-        counts[host.name] = room.count(need)
+        capacity = _FreeCapacity(host.cpu, host.memory, host.accelerators, host.slots)
+        free[host.name] = capacity
+        counts[host.name] = capacity.count(need)
         for task, held in host.tasks.items():
-            events.append((max(ends(task), now), len(events), host, held))
+            events.append((max(expected_end(task), now), len(events), host, held))
     events.sort(key=lambda event: event[:2])
     total = sum(counts.values())
     start = now
@@ -111,17 +113,17 @@
             break
         if time == math.inf:
             return None
-        rooms[host.name].add(held)
-        count = rooms[host.name].count(need)
+        free[host.name].add(held)
+        count = free[host.name].count(need)
         total += count - counts[host.name]
         counts[host.name] = count
         start = time
     if total < size:
         return None
-    return Reservation(key, _fewest(counts, size), start, now)
+    return Reservation(key, _fewest_hosts(counts, size), start, now)
 
 
-def _fewest(counts: dict[str, int], size: int) -> set[str]:
+def _fewest_hosts(counts: dict[str, int], size: int) -> set[str]:
     chosen = set()
     for name in sorted(counts, key=lambda name: (-counts[name], name)):
         if size <= 0:
