--- a/siskinroad/loads.py
+++ b/siskinroad/loads.py
@@ -1,4 +1,4 @@
-"""What is known of every shard's room: own, peers' and other data centres'."""
+"""Load of the shards that other daemons own, here and in other data centres."""
 
 from __future__ import annotations
 
@@ -10,7 +10,17 @@
 
 
 class LoadTable:
-    """The latest news of each shard."""
+    """Table of the latest load reported for each shard.
+
+    Attributes
+    ----------
+    abroad : dict of str to ShardLoad
+        Load of the shards of other data centres.
+    incarnations : dict of str to int
+        Incarnation of each daemon of another data centre that owns shards.
+    revisions : dict of str to int
+        Configuration revision of each other data centre.
+    """
 
     def __init__(self, place: Place, members: Membership) -> None:
         self.place = place
@@ -18,43 +28,49 @@
         self.abroad: dict[str, ShardLoad] = {}
         self.incarnations: dict[str, int] = {}
         self.revisions: dict[str, int] = {}
-        self._stamps: dict[str, int] = {}
+        self._last_stamps: dict[str, int] = {}
 
     def hear_digest(self, msg: Digest, now: float) -> bool:
-        """Take another data centre's news; return False if it is old."""
+        """Apply another data centre's digest; return False if it is not newer."""
         if msg.data_centre == self.place.data_centre:
             return False
-        if msg.stamp <= self._stamps.get(msg.name, -1):
+        if msg.stamp <= self._last_stamps.get(msg.name, -1):
             return False
-        self._stamps[msg.name] = msg.stamp
+        self._last_stamps[msg.name] = msg.stamp
         self.revisions[msg.data_centre] = msg.revision
         place = Place(msg.data_centre, msg.region)
-        for name in [n for n, x in self.abroad.items() if x.place == place]:
+        for name in [n for n, load in self.abroad.items() if load.place == place]:
             del self.abroad[name]
-        for news in msg.shards:
-            owner, incarnation = msg.owners.get(news.shard, ("", 0))
+        for update in msg.shards:
+            owner, incarnation = msg.owners.get(update.shard, ("", 0))
             self.incarnations[owner] = incarnation
-            self.abroad[news.shard] = _load(news, owner, place, now)
+            self.abroad[update.shard] = _shard_load(update, owner, place, now)
         return True
 
     def near(self, now: float) -> dict[str, ShardLoad]:
-        """Return the shards of this data centre that other daemons own."""
+        """Return the load of this data centre's shards that other daemons own."""
         loads: dict[str, ShardLoad] = {}
         epochs: dict[str, int] = {}
         for member in self.members.alive(now):
-            for news in member.shards:
-                if news.epoch > epochs.get(news.shard, -1):
-                    epochs[news.shard] = news.epoch
-                    load = _load(news, member.name, self.place, member.heard)
-                    loads[news.shard] = load
+            for update in member.shards:
+                if update.epoch > epochs.get(update.shard, -1):
+                    epochs[update.shard] = update.epoch
+                    load = _shard_load(
+                        update, member.name, self.place, member.last_heartbeat
+                    )
+                    loads[update.shard] = load
         return loads
 
     def incarnation(self, name: str) -> int:
-        """Return the incarnation of a daemon as last heard."""
+        """Return the last known incarnation of a daemon, 0 if none is known."""
         member = self.members.members.get(name)
         return member.incarnation if member else self.incarnations.get(name, 0)
 
 
-def _load(news: ShardNews, owner: str, place: Place, heard: float) -> ShardLoad:
-    pool = news.shard.partition("/")[0]
-    return ShardLoad(news.shard, pool, owner, place, news.free, news.waits, heard)
+def _shard_load(
+    update: ShardNews, owner: str, place: Place, received_at: float
+) -> ShardLoad:
+    pool = update.shard.partition("/")[0]
+    return ShardLoad(
+        update.shard, pool, owner, place, update.free, update.waits, received_at
+    )
--- a/siskinroad/membership.py
+++ b/siskinroad/membership.py
@@ -1,4 +1,4 @@
-"""Which daemons of the data centre are alive, as far as heartbeats tell."""
+"""Failure detection: the other daemons of a data centre, by their heartbeats."""
 
 from __future__ import annotations
 
@@ -6,36 +6,43 @@
 
 from siskinroad.messages import Heartbeat, ShardNews
 
-__all__ = ["DEAD_AFTER", "HEARTBEAT_TIME", "Member", "Membership"]
+__all__ = ["HEARTBEAT_TIME", "HEARTBEAT_TIMEOUT", "Member", "Membership"]
 
+# Seconds between two heartbeats to each daemon of the data centre.
 HEARTBEAT_TIME = 0.5
-DEAD_AFTER = 1.6
-STABLE_AFTER = 3.0
+# Seconds without a heartbeat after which a member counts as dead. Three heartbeats
+# fit in, so that one or two lost ones do not make a live member look dead; a larger
+# value delays the replacement of a dead owner.
+HEARTBEAT_TIMEOUT = 1.6
+# Seconds of uninterrupted heartbeats before a shard is handed over to a member.
+MIN_STABLE_TIME = 3.0
 
 
 @dataclass(slots=True)
 class Member:
-    """A daemon as last heard of.
+    """Another daemon, as described by its latest heartbeat.
 
     Attributes
     ----------
-    heard : float
-        Loop time of its last heartbeat.
-    since : float
-        Loop time since which it has been heard without a break.
-    echoed : float
-        Our own stamp that it echoed last.
+    last_heartbeat : float
+        Loop time at which its last heartbeat arrived, in seconds.
+    alive_since : float
+        Loop time since which its heartbeats have arrived without a gap longer
+        than ``HEARTBEAT_TIMEOUT``.
+    echoed_stamp : float
+        Latest of this daemon's own stamps that the member has echoed.
     contests : frozenset of str
-        Shards that it claimed or may have claimed when it sent that echo.
+        Shards that the member had claimed, or may have claimed, when it sent
+        that echo.
     stamp : float
-        Its own latest stamp, which we echo.
+        The member's own latest stamp, which this daemon echoes.
     """
 
     name: str
     incarnation: int
-    heard: float
-    since: float
-    echoed: float = float("-inf")
+    last_heartbeat: float
+    alive_since: float
+    echoed_stamp: float = float("-inf")
     contests: frozenset[str] = frozenset()
     stamp: float = 0.0
     draining: bool = False
@@ -46,7 +53,7 @@
 
 
 class Membership:
-    """Members of one data centre, this daemon excluded."""
+    """The members of one data centre, without this daemon."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -54,27 +61,27 @@
         self.draining = False
 
     def hear(self, msg: Heartbeat, now: float) -> bool:
-        """Take a heartbeat; return whether the member is new or restarted.
+        """Record a heartbeat; return whether the member is new or restarted.
 
-        Late heartbeats of an earlier incarnation, and ones that arrive out of
-        order, are ignored.
+        Ignore heartbeats of an earlier incarnation and ones that arrive out of
+        order.
         """
         known = self.members.get(msg.name)
         if msg.name == self.name:
             return False
-        fresh = known is None or msg.incarnation > known.incarnation
+        is_new = known is None or msg.incarnation > known.incarnation
         if known is not None and msg.incarnation < known.incarnation:
             return False
-        if known is None or fresh:
+        if known is None or is_new:
             known = Member(msg.name, msg.incarnation, now, now)
             self.members[msg.name] = known
         elif msg.stamp <= known.stamp:
             return False
-        if now - known.heard > DEAD_AFTER:
-            known.since = now
-        known.heard = now
+        if now - known.last_heartbeat > HEARTBEAT_TIMEOUT:
+            known.alive_since = now
+        known.last_heartbeat = now
         self._update(known, msg)
-        return fresh
+        return is_new
 
     def _update(self, member: Member, msg: Heartbeat) -> None:
         member.stamp = msg.stamp
@@ -84,27 +91,35 @@
         if msg.admits is not None:
             member.admits = frozenset(msg.admits)
         member.shards = msg.shards
-        if msg.echo is not None and msg.echo.stamp >= member.echoed:
-            member.echoed = msg.echo.stamp
+        if msg.echo is not None and msg.echo.stamp >= member.echoed_stamp:
+            member.echoed_stamp = msg.echo.stamp
             member.contests = frozenset(msg.echo.contests)
 
     def alive(self, now: float) -> list[Member]:
-        """Return the members heard of lately."""
-        return [m for m in self.members.values() if now - m.heard <= DEAD_AFTER]
-
-    def stable(self, name: str, now: float) -> bool:
-        """Return whether a member has been alive long enough to hand over to."""
+        """Return the members whose last heartbeat is within ``HEARTBEAT_TIMEOUT``."""
+        return [
+            m
+            for m in self.members.values()
+            if now - m.last_heartbeat <= HEARTBEAT_TIMEOUT
+        ]
+
+    def is_stable(self, name: str, now: float) -> bool:
+        """Return whether a member has been alive long enough to take over a shard."""
         member = self.members.get(name)
-        if member is None or now - member.heard > DEAD_AFTER:
+        if member is None or now - member.last_heartbeat > HEARTBEAT_TIMEOUT:
             return False
-        return now - member.since >= STABLE_AFTER
+        return now - member.alive_since >= MIN_STABLE_TIME
 
     def forget(self, name: str) -> None:
-        """Forget a member that the platform has terminated."""
+        """Remove a member that the platform has terminated."""
         self.members.pop(name, None)
 
     def reader(self, now: float) -> str:
-        """Return who reads the log for the data centre: the lowest name alive."""
+        """Return the daemon that reads the log for the data centre.
+
+        This is the lowest name among the live daemons that are not draining. A
+        draining daemon reads the log only if there is no other.
+        """
         names = [m.name for m in self.alive(now) if not m.draining]
         if self.draining and names:
             return min(names)
--- a/siskinroad/ownership.py
+++ b/siskinroad/ownership.py
@@ -1,17 +1,19 @@
-"""Which daemon may place work on a shard's hosts: at most one at a time.
-
-The argument, whose steps ``docs/OWNERSHIP.md`` spells out:
-
-1. A claim's epoch is its place in the log, and a claim is valid only if it
-   replaces the one in force, so all readers agree on who holds which epoch.
-2. A holder places work only until ``LEASE_TIME`` after a moment at which its
-   claim was confirmed: by a read of the log to its end, or by every other
-   admitted daemon stating that it has made no claim against it.
-3. Whoever replaces a holder waits ``LEASE_TIME + LEASE_MARGIN`` from when it
-   learns that its own claim is valid, unless the holder released the shard, was
-   restarted or was terminated by the platform.
-4. A daemon claims from a holder only if that holder counts it among those whose
-   statement it needs, so no unknown daemon can take over unseen.
+"""Exclusive ownership of shards: one daemon at a time places work on a shard's hosts.
+
+Exclusive ownership rests on these rules, which ``docs/OWNERSHIP.md`` explains:
+
+1. A claim's epoch is its position in the log, and a claim is valid only if it
+   replaces the one in force, so all readers agree on which daemon holds which
+   epoch.
+2. A holder places work only until ``LEASE_TIME`` after the last confirmation of
+   its claim. A claim is confirmed by a read of the log to its end, or by all
+   other admitted daemons stating that they have made no competing claim.
+3. A daemon that replaces a holder waits ``LEASE_TIME + LEASE_MARGIN`` after it
+   learns that its own claim is valid, unless the holder has released the shard,
+   was restarted or was terminated by the platform.
+4. A daemon may replace a holder's claim only if the holder counts it among the
+   daemons whose statements it needs. A daemon that the holder does not know
+   therefore cannot take over unnoticed.
 """
 
 from __future__ import annotations
@@ -39,14 +41,22 @@
     "rendezvous",
 ]
 
+# Seconds after a confirmation during which the holder of a claim may place work. A
+# larger value delays the takeover from a dead holder.
 LEASE_TIME = 2.0
+# Seconds that a successor waits beyond the lease. With a smaller margin the former
+# holder may still be placing work when the successor starts.
 LEASE_MARGIN = 0.3
-RETRY_CLAIM_TIME = 2.0
-HANDOVER_PAUSE = 3.0
+# Seconds after which a claim or a request for admission that has not appeared in the
+# log is appended again.
+CLAIM_RETRY_INTERVAL = 2.0
+# Seconds for which another daemon must be the preferred owner of a shard before the
+# shard is handed over to it.
+HANDOVER_DELAY = 3.0
 
 
 def rendezvous(shard: str, names: list[str]) -> str:
-    """Return the name with the highest hash for a shard."""
+    """Return the name with the highest hash for a shard (rendezvous hashing)."""
 
     def weight(name: str) -> bytes:
         data = f"{shard}\0{name}".encode()
@@ -64,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TakeShard:
-    """Ask the shard's hosts what they run, then begin to place work."""
+    """Ask the shard's hosts which tasks they run, then start placing work."""
 
     shard: str
     epoch: int
@@ -72,21 +82,21 @@
 
 @dataclass(slots=True, frozen=True)
 class SuspendShard:
-    """Start nothing new: it is not certain that the claim still holds."""
+    """Start nothing new, as the claim may no longer be in force."""
 
     shard: str
 
 
 @dataclass(slots=True, frozen=True)
 class ResumeShard:
-    """The claim is confirmed again."""
+    """Resume placing work, as the claim has been confirmed again."""
 
     shard: str
 
 
 @dataclass(slots=True, frozen=True)
 class ReleaseShard:
-    """Start nothing new, wait for starts under way, then append the release."""
+    """Start nothing new, wait for starts in progress, then append the release."""
 
     shard: str
     epoch: int
@@ -94,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DropShard:
-    """Another daemon holds the shard: start nothing and forget its work."""
+    """Start nothing and discard the shard's work, as another daemon holds it."""
 
     shard: str
 
@@ -106,24 +116,38 @@
 
 @dataclass(slots=True)
 class Holding:
-    """Standing of this daemon on one shard; ``state`` follows the claim chart."""
+    """State of the claim that this daemon has or seeks on one shard.
+
+    Attributes
+    ----------
+    state : str
+        State in the chart ``claim``.
+    epoch : int
+        Epoch of the latest claim that this daemon won; 0 before the first.
+    claimed_at : float
+        Loop time at which the latest claim was appended.
+    takeover_at : float
+        Loop time from which the shard may be taken over.
+    retry_at : float
+        Loop time before which no further claim is made.
+    """
 
     state: str = "idle"
     epoch: int = 0
-    since: float = 0.0
-    ready: float = 0.0
-    retry: float = 0.0
+    claimed_at: float = 0.0
+    takeover_at: float = 0.0
+    retry_at: float = 0.0
 
 
 class Ownership:
-    """The claims of one daemon; decides, and does no I/O.
+    """State machine of one daemon's claims; it returns effects and does no I/O.
 
     Parameters
     ----------
     name, incarnation : str, int
-        This daemon.
+        Name and incarnation of this daemon.
     ledger : Ledger
-        The data centre's stream as far as it was read.
+        State of the data centre's stream as far as it has been read.
     members : Membership
         The other daemons.
     """
@@ -141,39 +165,39 @@
         self.holdings: dict[str, Holding] = {}
         self.confirmed = float("-inf")
         self._chart = load_chart("claim")
-        self._joining = float("-inf")
-        self._misplaced: dict[str, float] = {}
+        self._join_attempted_at = float("-inf")
+        self._misplaced_since: dict[str, float] = {}
 
-    # What is told
+    # Inputs
 
     def set_shards(self, shards: dict[str, bool]) -> None:
-        """Set the shards of the data centre; the value says whether hosts fence."""
+        """Set the data centre's shards, each with whether its hosts check epochs."""
         self.shards = dict(shards)
 
     def set_gone(self, names: set[str]) -> None:
-        """Set the daemons that the platform shows as terminated."""
+        """Set the daemons that the platform lists as terminated."""
         self.gone = set(names)
 
     def log_confirmed(self, stamp: float) -> None:
-        """Note that the log was read to its end by a read begun at ``stamp``."""
+        """Record that a read begun at ``stamp`` reached the end of the log."""
         self.confirmed = max(self.confirmed, stamp)
 
     def taken(self, shard: str, epoch: int) -> bool:
-        """Note that the hosts were asked; return whether the claim still holds."""
+        """Record that the hosts were queried; return whether the claim is in force."""
         holding = self.holdings.get(shard)
         if holding is None or holding.epoch != epoch or holding.state != "taking":
             return False
-        self._move(holding, "taken")
+        self._transition(holding, "taken")
         return True
 
-    # What is asked
+    # Queries
 
     def contests(self) -> list[str]:
-        """Return the shards on which this daemon has or may have a claim."""
+        """Return the shards that this daemon has claimed or may have claimed."""
         return [s for s, h in self.holdings.items() if h.state != "idle"]
 
     def admits(self) -> list[str]:
-        """Return the daemons whose statement a peer confirmation needs."""
+        """Return the daemons whose statements a confirmation by peers needs."""
         names = set(self.ledger.joined)
         names |= {m.name for m in self.members.members.values() if m.joined}
         return sorted(names - {self.name} - self.gone)
@@ -183,38 +207,38 @@
         return self.ledger.joined.get(self.name) == self.incarnation
 
     def epoch(self, shard: str) -> int:
-        """Return the epoch of this daemon's own claim, 0 if it has none."""
+        """Return the epoch of this daemon's claim on a shard, 0 if it has none."""
         holding = self.holdings.get(shard)
         return holding.epoch if holding is not None else 0
 
     def lease_until(self, shard: str) -> float:
-        """Return the loop time until which the claim is certain."""
-        return max(self.confirmed, self._peers_confirmed(shard)) + LEASE_TIME
+        """Return the loop time at which the lease on a shard expires."""
+        return max(self.confirmed, self._peers_confirmed_at(shard)) + LEASE_TIME
 
     def may_place(self, shard: str, now: float) -> bool:
         """Return whether requests may be sent to the shard's hosts at ``now``.
 
-        Hosts that refuse lower epochs are never overfilled by two owners, so that
-        there only a claim known to be lost forbids it.
+        Two owners cannot overload hosts that refuse lower epochs. On such hosts
+        requests may be sent until the claim is known to be lost.
         """
         fenced = self.shards.get(shard, False)
-        return self._holds(shard) and (fenced or now < self.lease_until(shard))
+        return self._holds_claim(shard) and (fenced or now < self.lease_until(shard))
 
     def is_certain(self, shard: str, now: float) -> bool:
         """Return whether tasks may be started at ``now``.
 
-        Hosts cannot know of a task that another owner starts elsewhere, so this
-        takes a claim that is certain.
+        This needs an unexpired lease, also on hosts that refuse lower epochs: a
+        host cannot know of a task that another owner starts on another host.
         """
-        return self._holds(shard) and now < self.lease_until(shard)
+        return self._holds_claim(shard) and now < self.lease_until(shard)
 
-    def _holds(self, shard: str) -> bool:
+    def _holds_claim(self, shard: str) -> bool:
         holding = self.holdings.get(shard)
         if holding is None or holding.state not in ("owning", "suspended"):
             return False
-        return not self._lost(shard, holding)
+        return not self._is_claim_lost(shard, holding)
 
-    def _peers_confirmed(self, shard: str) -> float:
+    def _peers_confirmed_at(self, shard: str) -> float:
         names = self.admits()
         if not names:
             return float("-inf")
@@ -223,30 +247,37 @@
             member = self.members.members.get(name)
             if member is None or shard in member.contests:
                 return float("-inf")
-            oldest = min(oldest, member.echoed)
+            oldest = min(oldest, member.echoed_stamp)
         return oldest
 
-    def _lost(self, shard: str, holding: Holding) -> bool:
+    def _is_claim_lost(self, shard: str, holding: Holding) -> bool:
         claim = self.ledger.claims.get(shard)
         return claim is None or claim.epoch != holding.epoch
 
-    # What follows
+    # Decisions
 
     def tick(self, now: float) -> list[OwnershipEffect]:
-        """Return what is to be done; call this on news and every 0.1 s."""
+        """Return the effects to carry out.
+
+        Call this after each input, and every 0.1 s without one.
+        """
         if not self.ledger.whole:
             return []
-        effects = self._join(now)
+        effects = self._request_admission(now)
         for shard in sorted(self.shards):
             effects += self._tick_shard(shard, now)
         for shard in sorted(self.holdings.keys() - self.shards.keys()):
-            effects += self._abandon(shard)
+            effects += self._release_removed_shard(shard)
         return effects
 
-    def _join(self, now: float) -> list[OwnershipEffect]:
-        if self.joined() or self.draining or now < self._joining + RETRY_CLAIM_TIME:
+    def _request_admission(self, now: float) -> list[OwnershipEffect]:
+        if (
+            self.joined()
+            or self.draining
+            or now < self._join_attempted_at + CLAIM_RETRY_INTERVAL
+        ):
             return []
-        self._joining = now
+        self._join_attempted_at = now
         return [Append(DaemonJoined(self.name, self.incarnation))]
 
     def _tick_shard(self, shard: str, now: float) -> list[OwnershipEffect]:
@@ -255,151 +286,163 @@
             holding = self.holdings[shard] = Holding()
         match holding.state:
             case "idle":
-                return self._idle(shard, holding, now)
+                return self._tick_idle(shard, holding, now)
             case "claiming":
-                return self._claiming(shard, holding, now)
+                return self._tick_claiming(shard, holding, now)
             case "waiting" | "taking":
-                return self._waiting(shard, holding, now)
+                return self._tick_waiting(shard, holding, now)
             case _:
-                return self._owning(shard, holding, now)
+                return self._tick_owning(shard, holding, now)
 
-    def _idle(self, shard: str, holding: Holding, now: float) -> list[OwnershipEffect]:
+    def _tick_idle(
+        self, shard: str, holding: Holding, now: float
+    ) -> list[OwnershipEffect]:
         claim = self.ledger.claims.get(shard)
-        if claim is not None and self._is_late(claim, holding):
-            return self._take_late(shard, holding, claim, now)
-        if now < holding.retry or self.draining or not self.joined():
+        if claim is not None and self._is_late_claim(claim, holding):
+            return self._adopt_late_claim(shard, holding, claim, now)
+        if now < holding.retry_at or self.draining or not self.joined():
             return []
-        if self._wanted_owner(shard, claim, now) != self.name:
+        if self._preferred_owner(shard, claim, now) != self.name:
             return []
         if claim is not None and not self._may_replace(claim, now):
             return []
-        self._move(holding, "claim")
-        holding.since = now
+        self._transition(holding, "claim")
+        holding.claimed_at = now
         replaces = claim.epoch if claim is not None else 0
         record = ClaimMade(shard, self.name, self.incarnation, replaces)
         return [Append(record)]
 
-    def _is_late(self, claim: Claim, holding: Holding) -> bool:
-        """Return whether a claim that was given up has got into the log after all."""
-        newer = claim.epoch > holding.epoch
-        return self._is_mine(claim) and newer and not claim.released
+    def _is_late_claim(self, claim: Claim, holding: Holding) -> bool:
+        """Return whether a claim that had timed out has reached the log after all."""
+        is_newer = claim.epoch > holding.epoch
+        return self._is_mine(claim) and is_newer and not claim.released
 
-    def _take_late(
+    def _adopt_late_claim(
         self, shard: str, holding: Holding, claim: Claim, now: float
     ) -> list[OwnershipEffect]:
         if self.draining:
             holding.epoch = claim.epoch
             return [Append(ClaimReleased(shard, claim.epoch))]
-        self._move(holding, "claim")
-        return self._claiming(shard, holding, now)
+        self._transition(holding, "claim")
+        return self._tick_claiming(shard, holding, now)
 
-    def _wanted_owner(self, shard: str, claim: Claim | None, now: float) -> str:
+    def _preferred_owner(self, shard: str, claim: Claim | None, now: float) -> str:
         alive = self.members.alive(now)
-        held = claim is not None and not claim.released
-        if held and claim and any(member.name == claim.daemon for member in alive):
+        is_held = claim is not None and not claim.released
+        if is_held and claim and any(member.name == claim.daemon for member in alive):
             return claim.daemon
         names = [m.name for m in alive if m.joined and not m.draining]
         return rendezvous(shard, [*names, self.name])
 
     def _may_replace(self, claim: Claim, now: float) -> bool:
-        if self._is_over(claim):
+        if self._has_stopped_placing(claim):
             return True
         member = self.members.members.get(claim.daemon)
         return member is not None and self.name in member.admits
 
-    def _is_over(self, claim: Claim) -> bool:
-        """Return whether the holder certainly places no work any more."""
+    def _has_stopped_placing(self, claim: Claim) -> bool:
+        """Return whether the holder of a claim has certainly stopped placing work."""
         if claim.released or claim.daemon in self.gone or claim.daemon == self.name:
             return True
         member = self.members.members.get(claim.daemon)
-        heard = member.incarnation if member is not None else 0
+        live_incarnation = member.incarnation if member is not None else 0
         joined = self.ledger.joined.get(claim.daemon, 0)
-        return max(heard, joined) > claim.incarnation
+        return max(live_incarnation, joined) > claim.incarnation
 
-    def _claiming(
+    def _tick_claiming(
         self, shard: str, holding: Holding, now: float
     ) -> list[OwnershipEffect]:
         claim = self.ledger.claims.get(shard)
-        mine = claim is not None and self._is_mine(claim)
-        if claim is not None and mine and claim.epoch > holding.epoch:
-            self._move(holding, "confirmed")
+        is_mine = claim is not None and self._is_mine(claim)
+        if claim is not None and is_mine and claim.epoch > holding.epoch:
+            self._transition(holding, "confirmed")
             holding.epoch = claim.epoch
-            holding.ready = now if self._replaced_over(shard) else now + _WAIT
-            return self._waiting(shard, holding, now)
-        if now - holding.since >= RETRY_CLAIM_TIME:
-            self._move(holding, "lost")
-            holding.retry = now
+            holding.takeover_at = (
+                now
+                if self._have_replaced_holders_stopped(shard)
+                else now + _TAKEOVER_DELAY
+            )
+            return self._tick_waiting(shard, holding, now)
+        if now - holding.claimed_at >= CLAIM_RETRY_INTERVAL:
+            self._transition(holding, "lost")
+            holding.retry_at = now
         return []
 
     def _is_mine(self, claim: Claim) -> bool:
         return claim.daemon == self.name and claim.incarnation == self.incarnation
 
-    def _replaced_over(self, shard: str) -> bool:
-        return all(self._is_over(x) for x in self.ledger.replaced.get(shard, []))
+    def _have_replaced_holders_stopped(self, shard: str) -> bool:
+        return all(
+            self._has_stopped_placing(x) for x in self.ledger.replaced.get(shard, [])
+        )
 
-    def _waiting(
+    def _tick_waiting(
         self, shard: str, holding: Holding, now: float
     ) -> list[OwnershipEffect]:
-        if self._lost(shard, holding):
-            return self._lose(shard, holding, now)
-        if holding.state == "waiting" and self._replaced_over(shard):
-            holding.ready = min(holding.ready, now)
-        if holding.state == "waiting" and now >= holding.ready:
-            self._move(holding, "ready")
+        if self._is_claim_lost(shard, holding):
+            return self._drop_lost_claim(shard, holding, now)
+        if holding.state == "waiting" and self._have_replaced_holders_stopped(shard):
+            holding.takeover_at = min(holding.takeover_at, now)
+        if holding.state == "waiting" and now >= holding.takeover_at:
+            self._transition(holding, "ready")
             return [TakeShard(shard, holding.epoch)]
         return []
 
-    def _lose(self, shard: str, holding: Holding, now: float) -> list[OwnershipEffect]:
-        self._move(holding, "lost")
-        holding.retry = now + LEASE_TIME
+    def _drop_lost_claim(
+        self, shard: str, holding: Holding, now: float
+    ) -> list[OwnershipEffect]:
+        self._transition(holding, "lost")
+        holding.retry_at = now + LEASE_TIME
         return [DropShard(shard)]
 
-    def _owning(
+    def _tick_owning(
         self, shard: str, holding: Holding, now: float
     ) -> list[OwnershipEffect]:
-        if self._lost(shard, holding):
-            return self._lose(shard, holding, now)
+        if self._is_claim_lost(shard, holding):
+            return self._drop_lost_claim(shard, holding, now)
         if self._should_release(shard, now):
-            return self._release(shard, holding)
-        sure = now < self.lease_until(shard)
-        if not sure and holding.state == "owning":
-            self._move(holding, "doubt")
+            return self._release_shard(shard, holding)
+        certain = now < self.lease_until(shard)
+        if not certain and holding.state == "owning":
+            self._transition(holding, "doubt")
             return [SuspendShard(shard)]
-        if sure and holding.state == "suspended":
-            self._move(holding, "renewed")
+        if certain and holding.state == "suspended":
+            self._transition(holding, "renewed")
             return [ResumeShard(shard)]
         return []
 
     def _should_release(self, shard: str, now: float) -> bool:
         if self.draining:
             return True
-        heirs = [
+        candidates = [
             member.name
             for member in self.members.alive(now)
             if member.joined
             and not member.draining
-            and self.members.stable(member.name, now)
+            and self.members.is_stable(member.name, now)
         ]
-        wanted = rendezvous(shard, [*heirs, self.name])
-        if wanted == self.name or now - self.confirmed > LEASE_TIME:
-            self._misplaced.pop(shard, None)
+        preferred = rendezvous(shard, [*candidates, self.name])
+        if preferred == self.name or now - self.confirmed > LEASE_TIME:
+            self._misplaced_since.pop(shard, None)
             return False
-        since = self._misplaced.setdefault(shard, now)
-        return now - since >= HANDOVER_PAUSE
+        misplaced_since = self._misplaced_since.setdefault(shard, now)
+        return now - misplaced_since >= HANDOVER_DELAY
 
-    def _release(self, shard: str, holding: Holding) -> list[OwnershipEffect]:
-        self._move(holding, "release")
-        self._misplaced.pop(shard, None)
+    def _release_shard(self, shard: str, holding: Holding) -> list[OwnershipEffect]:
+        self._transition(holding, "release")
+        self._misplaced_since.pop(shard, None)
         return [ReleaseShard(shard, holding.epoch)]
 
-    def _abandon(self, shard: str) -> list[OwnershipEffect]:
+    def _release_removed_shard(self, shard: str) -> list[OwnershipEffect]:
         holding = self.holdings.pop(shard)
         if holding.state in ("owning", "suspended", "taking"):
             return [ReleaseShard(shard, holding.epoch)]
         return []
 
-    def _move(self, holding: Holding, event: str) -> None:
+    def _transition(self, holding: Holding, event: str) -> None:
         holding.state = self._chart.next(holding.state, event)
 
 
-_WAIT = LEASE_TIME + LEASE_MARGIN
+# Seconds between the confirmation of a claim and the takeover of the shard, by which
+# the former holder's lease has expired.
+_TAKEOVER_DELAY = LEASE_TIME + LEASE_MARGIN
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""At most one daemon may place work on a shard, whatever happens."""
+"""Exclusive ownership: at most one daemon places work on a shard under any fault."""
 
 import pytest
 
@@ -6,7 +6,8 @@
 from siskinroad import ownership
 from siskinroad.ownership import Ownership, rendezvous
 
-FEW = [
+# The most severe of ``model.ACTIONS``, few enough to explore sequences of four.
+SEVERE_ACTIONS = [
     ("crash", "a"),
     ("restart", "a"),
     ("pause", "b"),
@@ -18,31 +19,34 @@
 ]
 
 
-def test_three_daemons_and_two_shards_exhaustively():
+def test_all_sequences_of_three_disturbances_keep_ownership_exclusive():
     assert model.explore(3) == len(model.ACTIONS) ** 3
 
 
-def test_longer_sequences_of_the_gravest_disturbances():
-    assert model.explore(4, FEW) == len(FEW) ** 4
+def test_sequences_of_four_severe_disturbances_keep_ownership_exclusive():
+    assert model.explore(4, SEVERE_ACTIONS) == len(SEVERE_ACTIONS) ** 4
 
 
-def _without_waiting(monkeypatch):
-    monkeypatch.setattr(ownership, "_WAIT", 0.0)
+def _remove_takeover_delay(monkeypatch):
+    monkeypatch.setattr(ownership, "_TAKEOVER_DELAY", 0.0)
 
 
-def _without_admission(monkeypatch):
-    monkeypatch.setattr(Ownership, "_peers_confirmed", lambda self, shard: 1e9)
+def _ignore_admitted_peers(monkeypatch):
+    monkeypatch.setattr(Ownership, "_peers_confirmed_at", lambda self, shard: 1e9)
 
 
-def _without_chain(monkeypatch):
-    monkeypatch.setattr(Ownership, "_replaced_over", lambda self, shard: True)
+def _ignore_replaced_claims(monkeypatch):
+    monkeypatch.setattr(
+        Ownership, "_have_replaced_holders_stopped", lambda self, shard: True
+    )
 
 
 @pytest.mark.parametrize(
-    "plant", [_without_waiting, _without_admission, _without_chain]
+    "inject_fault",
+    [_remove_takeover_delay, _ignore_admitted_peers, _ignore_replaced_claims],
 )
-def test_the_exploration_finds_planted_faults(monkeypatch, plant):
-    plant(monkeypatch)
+def test_the_exploration_finds_injected_faults(monkeypatch, inject_fault):
+    inject_fault(monkeypatch)
     with pytest.raises(AssertionError, match=r"p/d/"):
         model.explore(2)
 
@@ -51,16 +55,16 @@
     state = model.pickle.loads(model.steady())
     shard = model.SHARDS[0]
     owner = next(n for n in state.nodes.values() if n.own.may_place(shard, state.now))
-    began = state.now
+    crashed_at = state.now
     state.crash(owner.name)
     while not any(
         n.up and n.own.may_place(shard, state.now) for n in state.nodes.values()
     ):
         state.step()
-    assert state.now - began <= 5.0
+    assert state.now - crashed_at <= 5.0
 
 
-def test_an_owner_keeps_placing_while_the_log_is_down():
+def test_an_owner_keeps_placing_work_while_the_log_is_unavailable():
     state = model.pickle.loads(model.steady())
     state.lose_log_all()
     for _ in range(120):
@@ -71,7 +75,7 @@
         )
 
 
-def test_an_owner_alone_without_the_log_stops():
+def test_an_isolated_owner_without_the_log_stops_placing_work():
     state = model.pickle.loads(model.steady())
     owner = next(
         n for n in state.nodes.values() if n.own.may_place(model.SHARDS[0], state.now)
@@ -83,7 +87,7 @@
     assert not owner.own.may_place(model.SHARDS[0], state.now)
 
 
-def test_rendezvous_moves_only_what_belonged_to_a_lost_name():
+def test_removing_a_name_moves_only_its_own_shards():
     shards = [f"s{i}" for i in range(200)]
     before = {shard: rendezvous(shard, ["a", "b", "c"]) for shard in shards}
     after = {shard: rendezvous(shard, ["a", "b"]) for shard in shards}
