--- a/siskinroad/configuration.py
+++ b/siskinroad/configuration.py
@@ -1,4 +1,4 @@
-"""The revision of the cell file that is in force; it never goes back."""
+"""The revision of the cell file in force; revision numbers only increase."""
 
 from __future__ import annotations
 
@@ -14,13 +14,15 @@
 
 __all__ = ["Configuration", "RevisionText", "decode_revision"]
 
-RECENT_KEYS = 64
+# Operators' requests remembered to recognise a repeated one. An older request that is
+# repeated is taken for a new one.
+MAX_RECENT_KEYS = 64
 
 
 class RevisionText(msgspec.Struct, frozen=True):
-    """A whole revision, as snapshots and peers carry it.
+    """A complete revision, as transferred in snapshots and between peers.
 
-    ``next`` is the offset after its record in the cell's stream.
+    ``next`` is the offset that follows the revision's record in the cell's stream.
     """
 
     revision: int
@@ -30,21 +32,23 @@
 
 
 class Configuration:
-    """State of the cell's stream.
+    """State built from the records of the cell's stream.
 
-    The first valid successor of the revision in force, at the lowest offset,
-    wins. All daemons that apply the same records reach the same revision.
+    Of several successors of the revision in force, the valid one at the lowest
+    offset wins. All daemons that apply the same records reach the same revision.
 
     Attributes
     ----------
     revision : int
-        0 while there is none.
+        Number of the revision in force, 0 before the first.
     cell : Cell or None
-        The checked file.
+        The validated cell file in force.
     key : str
-        The operator's request that brought the revision.
+        Key of the operator's request that made the revision.
     next_offset : int
-        The next record of the stream to apply.
+        Offset of the stream's next append to apply.
+    rejected : int
+        Number of revisions that were not valid successors.
     """
 
     def __init__(self) -> None:
@@ -54,19 +58,19 @@
         self.next_offset = 1
         self.rejected = 0
         self._assembler = Assembler()
-        self._recent: deque[str] = deque(maxlen=RECENT_KEYS)
+        self._recent_keys: deque[str] = deque(maxlen=MAX_RECENT_KEYS)
 
     @property
     def text(self) -> str:
-        """The file in force."""
+        """Text of the cell file in force, empty before the first."""
         return self.cell.text if self.cell is not None else ""
 
     def was_applied(self, key: str) -> bool:
-        """Return whether an operator's request has brought a recent revision."""
-        return key in self._recent
+        """Return whether an operator's request has made a recent revision."""
+        return key in self._recent_keys
 
     def successor(self, text: str, key: str) -> CellRevision:
-        """Return the record that would put ``text`` in force next."""
+        """Return the record that would make ``text`` the next revision."""
         delta = make_delta(self.text, text)
         return CellRevision(self.revision + 1, self.revision, delta, digest(text), key)
 
@@ -83,35 +87,39 @@
         return changed
 
     def _apply_revision(self, record: CellRevision) -> bool:
-        follows = record.replaces == self.revision
-        if not follows or record.revision != self.revision + 1:
+        is_next = record.replaces == self.revision
+        if not is_next or record.revision != self.revision + 1:
             self.rejected += 1
             return False
         try:
             text = apply_delta(self.text, record.delta)
             if digest(text) != record.digest:
-                raise ProtocolError("digest differs", step="configuration.apply")
+                raise ProtocolError(
+                    "revision does not match its digest", step="configuration.apply"
+                )
             cell = parse_cell(text, f"revision {record.revision}")
             self.check_moves(cell)
         except (ConfigError, ProtocolError):
             self.rejected += 1
             return False
         self.revision, self.cell, self.key = record.revision, cell, record.key
-        self._recent.append(record.key)
+        self._recent_keys.append(record.key)
         return True
 
     def check_moves(self, cell: Cell) -> None:
-        """Check that no host of the file in force would change its shard.
+        """Check that no host of the revision in force would change its shard.
 
         Raises
         ------
         ConfigError
-            Naming each host that would.
+            If a host would change its shard; names each such host.
         """
-        moved = moved_hosts(self.cell, cell) if self.cell is not None else []
-        if moved:
+        moved_names = moved_hosts(self.cell, cell) if self.cell is not None else []
+        if moved_names:
             allowed = "its old rack, data centre and upstream, or another name"
-            raise ConfigError("cell", [Problem("hosts", x, allowed) for x in moved])
+            raise ConfigError(
+                "cell", [Problem("hosts", x, allowed) for x in moved_names]
+            )
 
     def _apply_part(self, part: SnapshotPart) -> bool:
         data = self._assembler.add(part)
@@ -120,34 +128,34 @@
         return self.adopt(decode_revision(data))
 
     def adopt(self, whole: RevisionText) -> bool:
-        """Take a whole revision if it is newer than the one in force."""
+        """Apply a complete revision if it is newer; return whether it is."""
         if whole.revision <= self.revision:
             return False
         cell = parse_cell(whole.text, f"revision {whole.revision}")
         self.revision, self.cell, self.key = whole.revision, cell, whole.key
-        self._recent.append(whole.key)
+        self._recent_keys.append(whole.key)
         self.next_offset = max(self.next_offset, whole.next)
         return True
 
     def whole(self) -> RevisionText:
-        """Return the revision in force for a snapshot or a peer."""
+        """Return the complete revision in force, for a snapshot or a peer."""
         return RevisionText(self.revision, self.text, self.key, self.next_offset)
 
     def encode(self) -> bytes:
-        """Return the state as a snapshot's data."""
+        """Return the state encoded as a snapshot."""
         return msgspec.msgpack.encode(self.whole())
 
 
 def decode_revision(data: bytes) -> RevisionText:
-    """Return the revision that a snapshot carries.
+    """Decode the revision in a snapshot.
 
     Raises
     ------
     ProtocolError
-        If it is not one.
+        If the data does not hold a revision.
     """
     try:
         return msgspec.msgpack.decode(data, type=RevisionText)
     except msgspec.MsgspecError as exc:
-        text = f"snapshot of another kind: {exc}"
+        text = f"cannot decode configuration snapshot: {exc}"
         raise ProtocolError(text, step="configuration.snapshot") from exc
--- a/siskinroad/deltas.py
+++ b/siskinroad/deltas.py
@@ -1,4 +1,4 @@
-"""Differences between two revisions of a text: one replaced run of lines."""
+"""Deltas between two revisions of a text, each one replaced range of lines."""
 
 from __future__ import annotations
 
@@ -10,7 +10,10 @@
 
 
 class Delta(msgspec.Struct, frozen=True):
-    """Keep the first ``head`` and the last ``tail`` lines, replace the rest."""
+    """A text change that keeps the first ``head`` and the last ``tail`` lines.
+
+    ``middle`` replaces the lines between them.
+    """
 
     head: int
     tail: int
@@ -18,29 +21,31 @@
 
 
 def make_delta(old: str, new: str) -> Delta:
-    """Return what turns ``old`` into ``new``."""
-    before = old.splitlines(keepends=True)
-    after = new.splitlines(keepends=True)
-    most = min(len(before), len(after))
+    """Return the delta that turns ``old`` into ``new``."""
+    old_lines = old.splitlines(keepends=True)
+    new_lines = new.splitlines(keepends=True)
+    common_max = min(len(old_lines), len(new_lines))
     head = 0
-    while head < most and before[head] == after[head]:
+    while head < common_max and old_lines[head] == new_lines[head]:
         head += 1
     tail = 0
-    while tail < most - head and before[-1 - tail] == after[-1 - tail]:
+    while tail < common_max - head and old_lines[-1 - tail] == new_lines[-1 - tail]:
         tail += 1
-    return Delta(head, tail, "".join(after[head : len(after) - tail]))
+    return Delta(head, tail, "".join(new_lines[head : len(new_lines) - tail]))
 
 
 def apply_delta(old: str, delta: Delta) -> str:
-    """Return the new text.
+    """Return ``old`` with the delta applied.
 
     Raises
     ------
     ProtocolError
-        If the delta does not belong to ``old``.
+        If the delta keeps more lines than ``old`` has.
     """
     lines = old.splitlines(keepends=True)
     if delta.head < 0 or delta.tail < 0 or delta.head + delta.tail > len(lines):
-        raise ProtocolError("delta of another text", step="deltas.apply")
-    kept = lines[len(lines) - delta.tail :] if delta.tail else []
-    return "".join(lines[: delta.head]) + delta.middle + "".join(kept)
+        raise ProtocolError(
+            "delta keeps more lines than the text has", step="deltas.apply"
+        )
+    tail_lines = lines[len(lines) - delta.tail :] if delta.tail else []
+    return "".join(lines[: delta.head]) + delta.middle + "".join(tail_lines)
--- a/siskinroad/keys.py
+++ b/siskinroad/keys.py
@@ -1,7 +1,8 @@
-"""Keyed requests: an intent on record before the send, one run at most.
+"""At-most-once execution of keyed requests, by intents stored before the send.
 
-An intent counts only once the daemon has read it back from the log as the first
-for its key. An intent without an outcome is never sent again by anyone.
+An intent is valid only once the daemon has read it back from the log as the first
+for its key. A request with a stored intent but no outcome is never sent again, by
+any daemon.
 """
 
 from __future__ import annotations
@@ -17,23 +18,30 @@
 
 __all__ = ["KeyGuard"]
 
-INTENT_TIME = 2.0
-OUTCOME_TIME = 1.0
-OUTCOME_POLL = 0.05
-MAX_KEPT_BODY = 4096
+# Seconds in which an intent must be appended to the log; otherwise the request is
+# refused as not run.
+INTENT_TIMEOUT = 2.0
+# Seconds that a repeated request waits for the first one's outcome.
+OUTCOME_TIMEOUT = 1.0
+# Seconds between two looks at the ledger during that wait.
+OUTCOME_POLL_INTERVAL = 0.05
+# Most bytes of a response body that are stored with the outcome. A repeat of a request
+# with a larger response is refused instead of answered.
+MAX_STORED_BODY = 4096
 NOT_RUN = "not run"
 DONE = "done"
 UNKNOWN = "unknown"
 
 
 class KeyGuard:
-    """Runs each keyed request at most once within the data centre.
+    """Guard that runs each keyed request at most once within the data centre.
 
     Parameters
     ----------
-    put : callable
-        Appends a record within so many seconds; its future has the offset.
-    applied : callable
+    append : callable
+        Appends a record within a time limit in seconds; its future returns the
+        offset.
+    wait_applied : callable
         Waits until the ledger has applied the record at an offset.
     """
 
@@ -41,14 +49,14 @@
         self,
         name: str,
         ledger: Ledger,
-        put: Callable[[Record, float], asyncio.Future[int]],
-        applied: Callable[[int], Awaitable[None]],
+        append: Callable[[Record, float], asyncio.Future[int]],
+        wait_applied: Callable[[int], Awaitable[None]],
     ) -> None:
         self.name = name
         self.ledger = ledger
-        self.put = put
-        self.applied = applied
-        self._mine: set[str] = set()
+        self.append = append
+        self.wait_applied = wait_applied
+        self._active_keys: set[str] = set()
 
     async def run(
         self,
@@ -62,74 +70,92 @@
         Raises
         ------
         Refusal
-            "Not run" only if no earlier use of the key can have run either.
+            If the key is in use or was used for another body, if the log is not
+            available, or if ``send`` refuses. The outcome is "not run" only if no
+            earlier request with the key can have run either.
         """
-        name = f"{service}/{key}"
-        mark = hashlib.blake2b(body, digest_size=12).hexdigest()
-        known = self.ledger.keys.get(name)
-        if name in self._mine:
-            raise _in_progress()
-        if known is not None and not _withdrawn(known):
-            return _repeat(await self._awaited(name, known), mark)
+        full_key = f"{service}/{key}"
+        request_digest = hashlib.blake2b(body, digest_size=12).hexdigest()
+        known = self.ledger.keys.get(full_key)
+        if full_key in self._active_keys:
+            raise _in_progress_refusal()
+        if known is not None and not _did_not_run(known):
+            return _replay_answer(
+                await self._wait_for_outcome(full_key, known), request_digest
+            )
         if not self.ledger.whole:
-            raise _log_down(Outcome.UNKNOWN)
-        self._mine.add(name)
+            raise _log_unavailable_refusal(Outcome.UNKNOWN)
+        self._active_keys.add(full_key)
         try:
-            await self._record(name, service, mark)
-            return await self._send(name, send)
+            await self._record_intent(full_key, service, request_digest)
+            return await self._send(full_key, send)
         finally:
-            self._mine.discard(name)
+            self._active_keys.discard(full_key)
 
-    async def _awaited(self, name: str, known: KeyState) -> KeyState:
-        """Give an outcome that is on its way into the log time to arrive."""
+    async def _wait_for_outcome(self, full_key: str, known: KeyState) -> KeyState:
+        """Wait up to ``OUTCOME_TIMEOUT`` for a key's outcome to arrive in the log."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + OUTCOME_TIME
-        while known.outcome is None and loop.time() < until:
-            await asyncio.sleep(OUTCOME_POLL)
-            known = self.ledger.keys.get(name, known)
+        deadline = loop.time() + OUTCOME_TIMEOUT
+        while known.outcome is None and loop.time() < deadline:
+            await asyncio.sleep(OUTCOME_POLL_INTERVAL)
+            known = self.ledger.keys.get(full_key, known)
         return known
 
-    async def _record(self, name: str, service: str, mark: str) -> None:
-        intent = IntentRecorded(name, service, mark, self.name)
+    async def _record_intent(
+        self, full_key: str, service: str, request_digest: str
+    ) -> None:
+        intent = IntentRecorded(full_key, service, request_digest, self.name)
         try:
-            offset = await self.put(intent, INTENT_TIME)
-            await self.applied(offset)
+            offset = await self.append(intent, INTENT_TIMEOUT)
+            await self.wait_applied(offset)
         except (PlatformError, TimeoutError):
-            self._settle(name, NOT_RUN, None)
-            raise _log_down(Outcome.NOT_RUN) from None
-        state = self.ledger.keys.get(name)
+            self._record_outcome(full_key, NOT_RUN, None)
+            raise _log_unavailable_refusal(Outcome.NOT_RUN) from None
+        state = self.ledger.keys.get(full_key)
         if state is None or state.intent.daemon != self.name or state.outcome:
-            raise _in_progress()
-        if state.intent.body_digest != mark:
+            raise _in_progress_refusal()
+        if state.intent.body_digest != request_digest:
             raise Refusal(Reason.KEY_REUSED, step="keys")
 
-    async def _send(self, name: str, send: Callable[[], Awaitable[Answer]]) -> Answer:
+    async def _send(
+        self, full_key: str, send: Callable[[], Awaitable[Answer]]
+    ) -> Answer:
         try:
             answer = await send()
         except Refusal as exc:
             not_run = exc.outcome is Outcome.NOT_RUN
-            self._settle(name, NOT_RUN if not_run else UNKNOWN, None)
+            self._record_outcome(full_key, NOT_RUN if not_run else UNKNOWN, None)
             raise
         except BaseException:
-            self._settle(name, UNKNOWN, None)
+            self._record_outcome(full_key, UNKNOWN, None)
             raise
-        self._settle(name, DONE, answer)
+        self._record_outcome(full_key, DONE, answer)
         return answer
 
-    def _settle(self, name: str, outcome: str, answer: Answer | None) -> None:
+    def _record_outcome(
+        self, full_key: str, outcome: str, answer: Answer | None
+    ) -> None:
         status = answer.status if answer is not None else 0
-        small = answer is not None and len(answer.body) <= MAX_KEPT_BODY
-        body = answer.body if answer is not None and small else None
-        self.put(KeyOutcome(name, outcome, status, body, self.name), float("inf"))
+        is_small = answer is not None and len(answer.body) <= MAX_STORED_BODY
+        body = answer.body if answer is not None and is_small else None
+        self.append(
+            KeyOutcome(full_key, outcome, status, body, self.name), float("inf")
+        )
 
 
-def _withdrawn(state: KeyState) -> bool:
+def _did_not_run(state: KeyState) -> bool:
     return state.outcome is not None and state.outcome.outcome == NOT_RUN
 
 
-def _repeat(state: KeyState, mark: str) -> Answer:
-    """Return the answer on record, or refuse."""
-    if state.intent.body_digest != mark:
+def _replay_answer(state: KeyState, request_digest: str) -> Answer:
+    """Return the stored answer to a repeated request.
+
+    Raises
+    ------
+    Refusal
+        If the body differs, or no answer is stored.
+    """
+    if state.intent.body_digest != request_digest:
         raise Refusal(
             Reason.KEY_REUSED, step="keys", message="key was used for another body"
         )
@@ -141,12 +167,12 @@
             Reason.KEY_IN_PROGRESS,
             step="keys",
             outcome=Outcome.UNKNOWN,
-            message="it has run; its answer was too large to keep",
+            message="the request has run; its response was too large to store",
         )
-    raise _in_progress()
+    raise _in_progress_refusal()
 
 
-def _in_progress() -> Refusal:
+def _in_progress_refusal() -> Refusal:
     return Refusal(
         Reason.KEY_IN_PROGRESS,
         step="keys",
@@ -156,7 +182,7 @@
     )
 
 
-def _log_down(outcome: Outcome) -> Refusal:
+def _log_unavailable_refusal(outcome: Outcome) -> Refusal:
     return Refusal(
         Reason.LOG_UNAVAILABLE, step="keys", outcome=outcome, retry_after=5.0
     )
--- a/siskinroad/ledger.py
+++ b/siskinroad/ledger.py
@@ -1,7 +1,7 @@
-"""What a data centre's stream says: claims, members, jobs and keys.
+"""State derived from a data centre's stream: claims, daemons, jobs and keys.
 
-Every record may be appended twice with no further effect, so that an append
-whose answer was lost is simply repeated.
+Records are idempotent: a repeated record has no further effect, so an append
+whose reply was lost can be sent again.
 """
 
 from __future__ import annotations
@@ -31,13 +31,18 @@
 
 __all__ = ["Claim", "JobState", "KeyState", "Ledger"]
 
-MAX_ENDED_JOBS = 1000
-MAX_SETTLED_KEYS = 5000
-MAX_CHAIN = 16
+# Jobs with every task ended that are kept for later status requests. The oldest are
+# removed once the table exceeds the limit by a tenth.
+MAX_FINISHED_JOBS = 1000
+# Keys with an outcome that are kept to answer repeated requests, with the same rule.
+# A key that has been removed could run a second time.
+MAX_FINISHED_KEYS = 5000
+# Replaced claims kept per shard; bounds the state and its snapshots.
+MAX_REPLACED_CLAIMS = 16
 
 
 class Claim(msgspec.Struct):
-    """The claim in force on a shard; its epoch orders all claims."""
+    """A claim on a shard; epochs order all claims."""
 
     epoch: int
     daemon: str
@@ -46,7 +51,7 @@
 
 
 class JobState(msgspec.Struct):
-    """An accepted job and the outcomes of its tasks by index."""
+    """An accepted job and the outcomes of its ended tasks, by task index."""
 
     accepted: JobAccepted
     ended: dict[int, str] = {}
@@ -54,19 +59,19 @@
 
     @property
     def settled(self) -> bool:
-        """Whether every task has ended."""
+        """Whether every task of the job has ended."""
         return len(self.ended) >= self.accepted.count
 
 
 class KeyState(msgspec.Struct):
-    """A keyed request: who may send it, and what became of it."""
+    """A keyed request: the intent in force, its offset and the outcome, if any."""
 
     intent: IntentRecorded
     offset: int
     outcome: KeyOutcome | None = None
 
 
-class _Saved(msgspec.Struct):
+class _LedgerSnapshot(msgspec.Struct):
     claims: dict[str, Claim]
     replaced: dict[str, list[Claim]]
     joined: dict[str, int]
@@ -75,22 +80,24 @@
 
 
 class Ledger:
-    """State of a data centre's stream.
+    """State built from the records of a data centre's stream.
 
     Attributes
     ----------
     next_offset : int
-        The next record to apply.
+        Offset of the next append to apply.
     claims : dict of str to Claim
-        The claim in force by shard.
+        The claim in force on each shard.
     replaced : dict of str to list of Claim
-        Those that it replaced since the last release: a claim may be replaced
-        before its daemon learns of it, so the one before it counts too.
+        The claims replaced on each shard since the last release. A claim may be
+        replaced before its daemon learns of it, while the holder before that
+        still places work, so the earlier claims count too.
     joined : dict of str to int
-        Incarnation of each daemon that has been admitted.
+        Latest incarnation of each daemon that has been admitted.
     whole : bool
-        False while records were trimmed before this reader saw them and no
-        snapshot has been read yet: nothing may then be decided on this state.
+        Whether the state is complete. It is not after records were trimmed from
+        the log unread, until a snapshot has been read; no decision may then be
+        based on it.
     """
 
     def __init__(self) -> None:
@@ -106,7 +113,7 @@
         self._pending: list[tuple[int, list[Record]]] = []
 
     def skip_to(self, first: int) -> None:
-        """Go on at ``first``: what lay before is no longer retained."""
+        """Continue at offset ``first``, as earlier records are no longer retained."""
         self.whole = False
         self.next_offset = first
         self._pending = []
@@ -118,7 +125,7 @@
         Raises
         ------
         ProtocolError
-            If a snapshot is damaged.
+            If a snapshot is corrupt.
         """
         if not self.whole:
             self._pending.append((offset, records))
@@ -133,9 +140,9 @@
     def _apply_record(self, offset: int, index: int, record: Record) -> None:
         match record:
             case DaemonJoined():
-                self._join(record)
+                self._admit_daemon(record)
             case ClaimMade():
-                self._claim(record, epoch_of(offset, index))
+                self._apply_claim(record, epoch_of(offset, index))
             case ClaimReleased():
                 claim = self.claims.get(record.shard)
                 if claim is not None and claim.epoch == record.epoch:
@@ -148,24 +155,24 @@
             case TasksEnded():
                 self._end_tasks(record)
             case IntentRecorded():
-                self._intend(record, offset)
+                self._record_intent(record, offset)
             case KeyOutcome():
-                self._settle_key(record)
+                self._record_outcome(record)
 
-    def _join(self, record: DaemonJoined) -> None:
+    def _admit_daemon(self, record: DaemonJoined) -> None:
         known = self.joined.get(record.daemon, -1)
         self.joined[record.daemon] = max(known, record.incarnation)
 
-    def _claim(self, record: ClaimMade, epoch: int) -> None:
+    def _apply_claim(self, record: ClaimMade, epoch: int) -> None:
         claim = self.claims.get(record.shard)
         if record.replaces == (claim.epoch if claim is not None else 0):
-            self.replaced[record.shard] = self._chain(record.shard, claim)
+            self.replaced[record.shard] = self._unreleased_claims(record.shard, claim)
             self.claims[record.shard] = Claim(epoch, record.daemon, record.incarnation)
 
-    def _chain(self, shard: str, claim: Claim | None) -> list[Claim]:
+    def _unreleased_claims(self, shard: str, claim: Claim | None) -> list[Claim]:
         if claim is None or claim.released:
             return []
-        return [*self.replaced.get(shard, []), claim][-MAX_CHAIN:]
+        return [*self.replaced.get(shard, []), claim][-MAX_REPLACED_CLAIMS:]
 
     def _end_tasks(self, record: TasksEnded) -> None:
         job = self.jobs.get(record.job)
@@ -174,32 +181,36 @@
         for index in record.indices:
             job.ended.setdefault(index, record.outcome)
         if job.settled:
-            _trim(self.jobs, MAX_ENDED_JOBS, lambda state: state.settled)
+            _evict_oldest(self.jobs, MAX_FINISHED_JOBS, lambda state: state.settled)
 
-    def _intend(self, record: IntentRecorded, offset: int) -> None:
+    def _record_intent(self, record: IntentRecorded, offset: int) -> None:
         known = self.keys.get(record.key)
-        withdrawn = (
+        did_not_run = (
             known is not None
             and known.outcome is not None
             and known.outcome.outcome == "not run"
         )
-        if known is None or withdrawn:
+        if known is None or did_not_run:
             self.keys[record.key] = KeyState(record, offset)
 
-    def _settle_key(self, record: KeyOutcome) -> None:
+    def _record_outcome(self, record: KeyOutcome) -> None:
         known = self.keys.get(record.key)
         if known is None or known.outcome is not None:
             return
         if known.intent.daemon != record.daemon:
             return
         known.outcome = record
-        _trim(self.keys, MAX_SETTLED_KEYS, lambda state: state.outcome is not None)
+        _evict_oldest(
+            self.keys, MAX_FINISHED_KEYS, lambda state: state.outcome is not None
+        )
 
     # Snapshots
 
     def encode(self) -> bytes:
-        """Return the state as a snapshot's data."""
-        saved = _Saved(self.claims, self.replaced, self.joined, self.jobs, self.keys)
+        """Return the state encoded as a snapshot."""
+        saved = _LedgerSnapshot(
+            self.claims, self.replaced, self.joined, self.jobs, self.keys
+        )
         return msgspec.msgpack.encode(saved)
 
     def _apply_part(self, part: SnapshotPart) -> None:
@@ -213,9 +224,9 @@
 
     def _restore(self, data: bytes, as_of: int) -> None:
         try:
-            saved = msgspec.msgpack.decode(data, type=_Saved)
+            saved = msgspec.msgpack.decode(data, type=_LedgerSnapshot)
         except msgspec.MsgspecError as exc:
-            text = f"snapshot of another kind: {exc}"
+            text = f"cannot decode ledger snapshot: {exc}"
             raise ProtocolError(text, step="ledger.snapshot") from exc
         self.claims, self.replaced = saved.claims, saved.replaced
         self.joined = saved.joined
@@ -230,12 +241,12 @@
                     self._apply_record(offset, index, record)
 
 
-def _trim(
-    states: dict[str, _State], most: int, settled: Callable[[_State], bool]
+def _evict_oldest(
+    states: dict[str, _State], limit: int, is_finished: Callable[[_State], bool]
 ) -> None:
-    """Forget the oldest settled entries beyond ``most`` and a tenth."""
-    if len(states) <= most + most // 10:
+    """Remove the oldest finished entries once a table exceeds ``limit`` by a tenth."""
+    if len(states) <= limit + limit // 10:
         return
-    old = [key for key, state in states.items() if settled(state)]
-    for key in old[: len(old) - most]:
+    finished = [key for key, state in states.items() if is_finished(state)]
+    for key in finished[: len(finished) - limit]:
         del states[key]
--- a/siskinroad/records.py
+++ b/siskinroad/records.py
@@ -1,4 +1,4 @@
-"""Records of the platform's log; one append carries a batch of them."""
+"""Records of the platform's log; each append holds a batch of records."""
 
 from __future__ import annotations
 
@@ -27,15 +27,18 @@
     "epoch_of",
 ]
 
+# Version written with each batch; a reader stops at a newer one.
 FORMAT_VERSION = 1
+# Most records in one append. An epoch is offset * MAX_BATCH + index, so a larger batch
+# would make epochs of two appends collide.
 MAX_BATCH = 1024
 
 
 class CellRevision(msgspec.Struct, tag="cell", frozen=True):
-    """A cell file as a difference; valid only if it replaces the one in force.
+    """A new cell file as a delta; valid only if it replaces the one in force.
 
-    ``digest`` names the whole text, ``key`` the operator's request, so that a
-    repeated request is recognised.
+    ``digest`` is the digest of the complete text. ``key`` identifies the operator's
+    request, so that a repeated one is recognised.
     """
 
     revision: int
@@ -46,14 +49,17 @@
 
 
 class DaemonJoined(msgspec.Struct, tag="join", frozen=True):
-    """A daemon may claim shards from here on."""
+    """Admission of a daemon, which may claim shards from this record on."""
 
     daemon: str
     incarnation: int
 
 
 class ClaimMade(msgspec.Struct, tag="claim", frozen=True):
-    """A daemon claims a shard; valid only if it replaces the claim in force."""
+    """A daemon's claim on a shard; valid only if it replaces the one in force.
+
+    ``replaces`` is the epoch of the claim in force, 0 if there is none.
+    """
 
     shard: str
     daemon: str
@@ -62,16 +68,17 @@
 
 
 class ClaimReleased(msgspec.Struct, tag="release", frozen=True):
-    """The holder has stopped placing on the shard."""
+    """Release of a shard, whose holder has stopped placing work on it."""
 
     shard: str
     epoch: int
 
 
 class JobAccepted(msgspec.Struct, tag="job", frozen=True):
-    """A batch job or gang, homed at one shard.
+    """An accepted batch job or gang, owned by one home shard.
 
-    ``epoch`` is the home's claim as the writer knew it; 0 if unknown.
+    ``epoch`` is that of the claim on the home shard as known to the writer, 0 if
+    unknown.
     """
 
     job: str
@@ -84,7 +91,7 @@
 
 
 class TasksEnded(msgspec.Struct, tag="ended", frozen=True):
-    """Tasks of a job that ended, by index, with the same outcome."""
+    """Tasks of a job that ended with the same outcome, by index."""
 
     job: str
     indices: list[int]
@@ -92,13 +99,13 @@
 
 
 class JobCancelled(msgspec.Struct, tag="cancel", frozen=True):
-    """No further task of the job may start."""
+    """Cancellation of a job, of which no further task may start."""
 
     job: str
 
 
 class IntentRecorded(msgspec.Struct, tag="intent", frozen=True):
-    """A keyed request is about to be sent, at most once."""
+    """Intent to send a keyed request, at most once."""
 
     key: str
     service: str
@@ -107,9 +114,9 @@
 
 
 class KeyOutcome(msgspec.Struct, tag="outcome", frozen=True):
-    """What became of a keyed request; a small answer is kept whole.
+    """Outcome of a keyed request; a small response body is stored with it.
 
-    It counts only from the daemon whose intent is the one on record.
+    It is valid only from the daemon whose intent for the key is stored.
     """
 
     key: str
@@ -122,8 +129,8 @@
 class SnapshotPart(msgspec.Struct, tag="snapshot", frozen=True):
     """One part of a snapshot of the stream's state.
 
-    The snapshot holds the effect of every record before offset ``as_of``. It is
-    complete once parts 0 to ``parts - 1`` with the same ``name`` were read.
+    The snapshot includes the effect of every record before offset ``as_of``. It is
+    complete once parts 0 to ``parts - 1`` of the same ``name`` have been read.
     """
 
     name: str
@@ -149,7 +156,7 @@
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """What one append carries."""
+    """Contents of one append."""
 
     version: int
     writer: str
@@ -167,24 +174,24 @@
 
 
 def encode_batch(writer: str, records: list[Record]) -> bytes:
-    """Return one append's data."""
+    """Encode the data of one append."""
     raw = [msgspec.Raw(_ENCODER.encode(record)) for record in records]
     return _ENCODER.encode(Batch(FORMAT_VERSION, writer, raw))
 
 
 def decode_batch(data: bytes) -> tuple[str, list[Record]]:
-    """Return the writer and the records of one append.
+    """Decode one append into its writer and its records.
 
     Raises
     ------
     ProtocolError
-        If the data is damaged or of a newer version; a reader must then stop
-        rather than go on with a part.
+        If the data is corrupt or has a newer format version. The reader must then
+        stop, as its state would lack these records.
     """
     try:
         version = _VERSION.decode(data).version
         if version > FORMAT_VERSION:
-            text = f"record of version {version}, this program reads {FORMAT_VERSION}"
+            text = f"record has format version {version}, limit is {FORMAT_VERSION}"
             raise ProtocolError(text, step="records.decode")
         batch = _BATCH.decode(data)
         return batch.writer, [_RECORD.decode(raw) for raw in batch.records]
--- a/siskinroad/snapshots.py
+++ b/siskinroad/snapshots.py
@@ -1,4 +1,8 @@
-"""Snapshots of a stream's state, re-appended well inside the retention time."""
+"""Snapshots of a stream's state, split into records of the same stream.
+
+They are appended again well within the log's retention time, so that a reader
+can always start from one.
+"""
 
 from __future__ import annotations
 
@@ -10,45 +14,48 @@
 
 __all__ = ["PART_BYTES", "Assembler", "checksum", "split"]
 
+# Most bytes of snapshot data in one record.
 PART_BYTES = 192 * 1024
 
 
 def checksum(data: bytes) -> str:
-    """Return the checksum of a whole snapshot."""
+    """Return the checksum of a complete snapshot."""
     return hashlib.blake2b(data, digest_size=16).hexdigest()
 
 
 def split(name: str, as_of: int, data: bytes) -> Iterator[SnapshotPart]:
-    """Yield the records that carry a snapshot.
+    """Split a snapshot into records.
 
     Parameters
     ----------
     name : str
         Unique name of this snapshot.
     as_of : int
-        The snapshot holds the effect of every record before this offset.
+        The snapshot includes the effect of every record before this offset.
+    data : bytes
+        The encoded snapshot.
     """
     parts = max(1, -(-len(data) // PART_BYTES))
-    total = checksum(data)
+    digest = checksum(data)
     for part in range(parts):
-        piece = data[part * PART_BYTES : (part + 1) * PART_BYTES]
-        yield SnapshotPart(name, as_of, part, parts, total, piece)
+        chunk = data[part * PART_BYTES : (part + 1) * PART_BYTES]
+        yield SnapshotPart(name, as_of, part, parts, digest, chunk)
 
 
 class Assembler:
-    """Puts the parts of snapshots together; forgets unfinished ones."""
+    """Reassembler of snapshots; a new snapshot discards an incomplete one."""
 
     def __init__(self) -> None:
         self._name = ""
         self._parts: list[bytes] = []
 
     def add(self, part: SnapshotPart) -> bytes | None:
-        """Take one part; return the whole snapshot once it is complete.
+        """Add one part; return the snapshot once it is complete, else None.
 
         Raises
         ------
         ProtocolError
-            If the whole does not match its checksum.
+            If the complete snapshot does not match its checksum.
         """
         if part.name != self._name:
             if part.part != 0:
@@ -62,5 +69,7 @@
         data = b"".join(self._parts)
         self._name, self._parts = "", []
         if checksum(data) != part.checksum:
-            raise ProtocolError("snapshot is damaged", step="snapshots.add")
+            raise ProtocolError(
+                "snapshot does not match its checksum", step="snapshots.add"
+            )
         return data
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -9,23 +9,23 @@
 from siskinroad.records import decode_batch, encode_batch
 from siskinroad.snapshots import split
 
-LINES = st.lists(st.sampled_from(["a\n", "b\n", "c", ""]), max_size=8).map("".join)
+TEXTS = st.lists(st.sampled_from(["a\n", "b\n", "c", ""]), max_size=8).map("".join)
 
 
 @settings(derandomize=True, deadline=None)
-@given(LINES, LINES)
-def test_a_delta_gives_the_new_text(old, new):
+@given(TEXTS, TEXTS)
+def test_applying_a_delta_yields_the_new_text(old, new):
     assert apply_delta(old, make_delta(old, new)) == new
 
 
-def _text(number):
+def _cell_text(number):
     return small_cell() + f"# {number}\n"
 
 
-def test_the_first_valid_successor_wins():
+def test_only_the_first_of_two_successors_is_applied():
     one, two = Configuration(), Configuration()
-    first = one.successor(_text(1), "k1")
-    second = two.successor(_text(2), "k2")
+    first = one.successor(_cell_text(1), "k1")
+    second = two.successor(_cell_text(2), "k2")
     for config in (one, two):
         assert config.apply(1, [first])
         assert not config.apply(2, [second])
@@ -34,28 +34,28 @@
         assert not config.was_applied("k2")
 
 
-def test_a_difference_is_small():
+def test_a_revision_record_holds_only_the_changed_lines():
     config = Configuration()
-    config.apply(1, [config.successor(_text(1), "k1")])
-    record = config.successor(_text(2), "k2")
+    config.apply(1, [config.successor(_cell_text(1), "k1")])
+    record = config.successor(_cell_text(2), "k2")
     assert len(encode_batch("a", [record])) < 150
 
 
-def test_a_snapshot_or_a_peer_never_brings_it_back():
+def test_an_older_revision_from_a_snapshot_or_peer_is_ignored():
     old, new = Configuration(), Configuration()
     for config in (old, new):
-        config.apply(1, [config.successor(_text(1), "k1")])
-    new.apply(2, [new.successor(_text(2), "k2")])
+        config.apply(1, [config.successor(_cell_text(1), "k1")])
+    new.apply(2, [new.successor(_cell_text(2), "k2")])
     assert not new.adopt(old.whole())
     assert not new.apply(3, list(split("s", 2, old.encode())))
     assert new.revision == 2
     assert old.adopt(new.whole())
-    assert old.text == _text(2)
+    assert old.text == _cell_text(2)
 
 
-def test_an_invalid_file_in_the_log_changes_nothing():
+def test_an_invalid_revision_in_the_log_is_rejected():
     config = Configuration()
-    config.apply(1, [config.successor(_text(1), "k1")])
+    config.apply(1, [config.successor(_cell_text(1), "k1")])
     assert not config.apply(2, [config.successor("name = 3", "k2")])
     moved = small_cell().replace('data_centre = "west-1"', 'data_centre = "east-1"')
     assert not config.apply(3, [config.successor(moved, "k3")])
@@ -64,7 +64,7 @@
     assert config.revision == 1
 
 
-def test_a_newer_format_stops_the_reader():
+def test_a_newer_format_version_raises():
     data = encode_batch("a", []).replace(b"\xa7version\x01", b"\xa7version\x02")
     with pytest.raises(ProtocolError, match="version 2"):
         decode_batch(data)
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -18,75 +18,77 @@
 JOB = JobAccepted("d.1", "w", "o", "s", 3, b"")
 
 
-def _feed(ledger, *batches):
+def _apply_batches(ledger, *batches):
     for records in batches:
         ledger.apply(ledger.next_offset, records)
     return ledger
 
 
-def test_the_lowest_offset_wins_a_claim():
-    ledger = _feed(
+def test_the_claim_at_the_lowest_offset_wins():
+    ledger = _apply_batches(
         Ledger(),
         [ClaimMade("s", "a", 1, 0)],
         [ClaimMade("s", "b", 1, 0)],
     )
     assert ledger.claims["s"].daemon == "a"
     first = epoch_of(1, 0)
-    _feed(ledger, [ClaimMade("s", "b", 1, first)], [ClaimReleased("s", first)])
+    _apply_batches(ledger, [ClaimMade("s", "b", 1, first)], [ClaimReleased("s", first)])
     assert ledger.claims["s"].daemon == "b"
     assert not ledger.claims["s"].released
     assert [x.daemon for x in ledger.replaced["s"]] == ["a"]
 
 
-def test_records_twice_have_no_further_effect():
+def test_repeated_records_have_no_further_effect():
     intent = IntentRecorded("k", "s", "m", "a")
     batch = [JOB, TasksEnded("d.1", [0], "done"), intent, ClaimMade("s", "a", 1, 0)]
-    once = _feed(Ledger(), batch)
-    twice = _feed(Ledger(), batch, [TasksEnded("d.1", [0], "failed"), *batch])
+    once = _apply_batches(Ledger(), batch)
+    twice = _apply_batches(Ledger(), batch, [TasksEnded("d.1", [0], "failed"), *batch])
     assert once.encode() == twice.encode()
 
 
-def test_only_the_first_intent_s_daemon_settles_a_key():
-    ledger = _feed(
+def test_only_the_daemon_of_the_first_intent_sets_the_outcome_of_a_key():
+    ledger = _apply_batches(
         Ledger(),
         [IntentRecorded("k", "s", "m", "a"), IntentRecorded("k", "s", "m", "b")],
         [KeyOutcome("k", "not run", 0, None, "b")],
     )
     assert ledger.keys["k"].outcome is None
-    _feed(ledger, [KeyOutcome("k", "done", 200, b"x", "a")])
-    _feed(ledger, [KeyOutcome("k", "not run", 0, None, "a")])
+    _apply_batches(ledger, [KeyOutcome("k", "done", 200, b"x", "a")])
+    _apply_batches(ledger, [KeyOutcome("k", "not run", 0, None, "a")])
     assert ledger.keys["k"].outcome.outcome == "done"
 
 
-def test_recovery_from_a_snapshot_and_the_tail():
-    whole = _feed(Ledger(), [DaemonJoined("a", 1)], [JOB], [ClaimMade("s", "a", 1, 0)])
-    parts = list(split("n", whole.next_offset, whole.encode()))
-    late = Ledger()
-    late.skip_to(4)
-    assert not late.whole
+def test_a_reader_recovers_from_a_snapshot_and_later_records():
+    complete = _apply_batches(
+        Ledger(), [DaemonJoined("a", 1)], [JOB], [ClaimMade("s", "a", 1, 0)]
+    )
+    parts = list(split("n", complete.next_offset, complete.encode()))
+    recovered = Ledger()
+    recovered.skip_to(4)
+    assert not recovered.whole
     tail = [[TasksEnded("d.1", [1], "done")], parts, [TasksEnded("d.1", [2], "done")]]
-    _feed(late, *tail)
-    _feed(whole, *tail)
-    assert late.whole
-    assert late.encode() == whole.encode()
+    _apply_batches(recovered, *tail)
+    _apply_batches(complete, *tail)
+    assert recovered.whole
+    assert recovered.encode() == complete.encode()
 
 
-def test_a_snapshot_that_leaves_a_gap_is_not_taken():
-    whole = _feed(Ledger(), [JOB], [JOB], [JOB])
-    late = Ledger()
-    late.skip_to(9)
-    late.apply(9, list(split("n", whole.next_offset, whole.encode())))
-    assert not late.whole
+def test_a_snapshot_older_than_the_first_retained_record_is_ignored():
+    complete = _apply_batches(Ledger(), [JOB], [JOB], [JOB])
+    recovered = Ledger()
+    recovered.skip_to(9)
+    recovered.apply(9, list(split("n", complete.next_offset, complete.encode())))
+    assert not recovered.whole
 
 
-def test_a_damaged_snapshot_is_an_error():
+def test_a_corrupt_snapshot_raises():
     part = next(split("n", 1, b"data"))
     bad = SnapshotPart(part.name, 1, 0, 1, part.checksum, b"dat!")
-    with pytest.raises(ProtocolError, match="damaged"):
+    with pytest.raises(ProtocolError, match="snapshot does not match its checksum"):
         Assembler().add(bad)
 
 
-def test_parts_of_two_snapshots_do_not_mix():
+def test_parts_of_two_snapshots_are_not_combined():
     data = b"x" * (PART_BYTES + 5)
     one, two = list(split("one", 1, data)), list(split("two", 1, data))
     assembler = Assembler()
