--- a/siskinroad/cell.py
+++ b/siskinroad/cell.py
@@ -1,4 +1,4 @@
-"""The cell file: owners, hosts and workloads, checked as a whole."""
+"""Parsing and validation of the cell file: owners, hosts and workloads."""
 
 from __future__ import annotations
 
@@ -29,11 +29,12 @@
 ]
 
 MIB_PER_GIB = 1024
+# Most shards of an upstream in one data centre.
 MAX_SHARDS = 64
 
 
 class Urgency(IntEnum):
-    """Classes of work, the most urgent first."""
+    """Urgency classes of workloads, the most urgent first."""
 
     URGENT = 0
     STANDARD = 1
@@ -41,7 +42,7 @@
 
 
 class Locality(IntEnum):
-    """How far from its caller a request may run."""
+    """Limit on how far from its caller a request may run."""
 
     DATA_CENTRE = 0
     REGION = 1
@@ -186,7 +187,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Owner:
-    """An owner; a quota dimension of 0 is no limit."""
+    """An owner who pays; a quota dimension of 0 means no limit."""
 
     name: str
     weight: float
@@ -196,7 +197,11 @@
 
 @dataclass(slots=True, frozen=True)
 class Host:
-    """One host of an upstream; its shard is the part that one daemon owns."""
+    """One host of an upstream.
+
+    One daemon at a time owns the host's ``shard``, which is a part of the upstream's
+    hosts in a data centre.
+    """
 
     name: str
     address: str
@@ -208,7 +213,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Pool:
-    """An upstream: hosts of one kind."""
+    """An upstream: a pool of hosts of the same kind."""
 
     name: str
     capacity: Resources
@@ -220,9 +225,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Workload:
-    """A service, batch kind or gang kind; ``size`` is 1 but for gangs.
+    """A service, a kind of batch job or a kind of gang.
 
-    Times are in seconds. ``demand`` is that of one member.
+    Times are in seconds. ``size`` is the number of tasks of a gang, otherwise 1.
+    ``demand`` is that of one task or request.
     """
 
     name: str
@@ -248,7 +254,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cell:
-    """A checked cell file."""
+    """A validated cell file."""
 
     name: str
     owners: dict[str, Owner]
@@ -258,7 +264,7 @@
     text: str = field(repr=False, default="")
 
     def region_of(self, data_centre: str) -> str:
-        """Return the region of a data centre, empty if it is not in the cell."""
+        """Return the region of a data centre, or "" if it is not in the cell."""
         return self.regions.get(data_centre, "")
 
     def shards(self, data_centre: str) -> dict[str, list[Host]]:
@@ -270,30 +276,30 @@
         return shards
 
     def hosts(self) -> Iterator[Host]:
-        """Yield every host."""
+        """Yield the hosts of all upstreams."""
         for pool in self.pools.values():
             yield from pool.hosts
 
 
 def digest(text: str) -> str:
-    """Return the name of a cell file's content."""
+    """Return the digest that identifies a cell file's content."""
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
 def parse_cell(text: str, source: str = "cell") -> Cell:
-    """Check a whole cell file.
+    """Parse and validate a cell file.
 
     Parameters
     ----------
     text : str
-        The file's content, TOML.
+        The file's content in TOML.
     source : str
-        Name of the file for the error.
+        Name of the file in error messages.
 
     Raises
     ------
     ConfigError
-        With every problem found; nothing is changed.
+        If the file is not valid; lists every problem found.
     """
     reader = Reader()
     data = reader.table(parse_toml(text, source), CELL_TABLE, "")
@@ -306,15 +312,15 @@
     return _build(data, text)
 
 
-def _unique(reader: Reader, places: Iterator[tuple[str, str]]) -> None:
+def _check_unique(reader: Reader, places: Iterator[tuple[str, str]]) -> None:
     seen: dict[str, str] = {}
     for place, name in places:
         if name in seen:
-            reader.fault(place, name, f"a name other than that of {seen[name]}")
+            reader.fault(place, name, f"a value not used by {seen[name]}")
         seen.setdefault(name, place)
 
 
-def _named(data: dict[str, Any], *keys: str) -> Iterator[tuple[str, str]]:
+def _entry_names(data: dict[str, Any], *keys: str) -> Iterator[tuple[str, str]]:
     for key in keys:
         for i, entry in enumerate(data[key]):
             yield f"{key}[{i}].name", entry["name"]
@@ -326,7 +332,7 @@
             yield f"upstreams[{i}].hosts[{j}].{key}", host[key]
 
 
-def _centres(data: dict[str, Any]) -> Iterator[tuple[str, str]]:
+def _data_centres(data: dict[str, Any]) -> Iterator[tuple[str, str]]:
     for i, region in enumerate(data["regions"]):
         for name in region["data_centres"]:
             yield f"regions[{i}].data_centres", name
@@ -334,26 +340,30 @@
 
 def _check_names(data: dict[str, Any], reader: Reader) -> None:
     for key in ("owners", "regions", "upstreams"):
-        _unique(reader, _named(data, key))
-    _unique(reader, _named(data, "services", "batch", "gangs"))
-    _unique(reader, _host_fields(data, "name"))
-    _unique(reader, _host_fields(data, "address"))
-    _unique(reader, _centres(data))
+        _check_unique(reader, _entry_names(data, key))
+    _check_unique(reader, _entry_names(data, "services", "batch", "gangs"))
+    _check_unique(reader, _host_fields(data, "name"))
+    _check_unique(reader, _host_fields(data, "address"))
+    _check_unique(reader, _data_centres(data))
 
 
 def _check_references(data: dict[str, Any], reader: Reader) -> None:
     owners = {entry["name"] for entry in data["owners"]}
     pools = {entry["name"] for entry in data["upstreams"]}
-    centres = {name for _, name in _centres(data)}
+    data_centres = {name for _, name in _data_centres(data)}
     for place, name in _host_fields(data, "data_centre"):
-        if name not in centres:
-            reader.fault(place, name, "a data centre under regions")
+        if name not in data_centres:
+            reader.fault(place, name, "a data centre listed under regions")
     for key in ("services", "batch", "gangs"):
         for i, entry in enumerate(data[key]):
             if entry["owner"] not in owners:
-                reader.fault(f"{key}[{i}].owner", entry["owner"], "a name of owners")
+                reader.fault(
+                    f"{key}[{i}].owner",
+                    entry["owner"],
+                    "the name of an owner under owners",
+                )
             if entry["upstream"] not in pools:
-                allowed = "a name of upstreams"
+                allowed = "the name of an upstream under upstreams"
                 reader.fault(f"{key}[{i}].upstream", entry["upstream"], allowed)
 
 
@@ -436,19 +446,19 @@
 def shard_name(pool: str, data_centre: str, rack: str, shards: int) -> str:
     """Return the shard to which a rack belongs.
 
-    It depends on nothing else in the file, so that adding or removing hosts
-    moves no other host to another shard.
+    The shard depends only on the parameters, so adding or removing hosts moves no
+    other host to another shard.
     """
-    digest_ = hashlib.blake2b(rack.encode(), digest_size=8).digest()
-    return f"{pool}/{data_centre}/{int.from_bytes(digest_) % shards}"
+    rack_hash = hashlib.blake2b(rack.encode(), digest_size=8).digest()
+    return f"{pool}/{data_centre}/{int.from_bytes(rack_hash) % shards}"
 
 
 def moved_hosts(old: Cell, new: Cell) -> list[str]:
     """Return the hosts that would change their shard, which is not allowed.
 
-    While daemons still differ in their revision, two of them would own such a
-    host. It is removed in one revision and added under another name in a later
-    one.
+    While some daemons still use the old revision, two daemons would own such a host.
+    To move a host, remove it in one revision and add it under another name and address
+    in a later one.
     """
     shards = {host.name: host.shard for host in old.hosts()}
     addresses = {host.address: host.shard for host in old.hosts()}
@@ -460,24 +470,24 @@
     ]
 
 
-def _flat(cell: Cell) -> dict[str, object]:
+def _flatten(cell: Cell) -> dict[str, object]:
     flat: dict[str, object] = {"name": cell.name}
     flat.update({f"owners.{k}": v for k, v in cell.owners.items()})
     flat.update({f"data_centres.{k}": v for k, v in cell.regions.items()})
     flat.update({f"workloads.{k}": v for k, v in cell.workloads.items()})
     flat.update({f"hosts.{h.name}": h for h in cell.hosts()})
     for name, pool in cell.pools.items():
-        shape = (pool.capacity, pool.connections, pool.shards, pool.fencing)
-        flat[f"upstreams.{name}"] = shape
+        pool_settings = (pool.capacity, pool.connections, pool.shards, pool.fencing)
+        flat[f"upstreams.{name}"] = pool_settings
     return flat
 
 
 def diff(old: Cell | None, new: Cell) -> list[str]:
     """Return one line for each thing added (+), removed (-) or changed (~)."""
-    before = _flat(old) if old else {}
-    after = _flat(new)
-    lines = [f"- {key}" for key in sorted(before.keys() - after.keys())]
-    lines += [f"+ {key}" for key in sorted(after.keys() - before.keys())]
-    both = sorted(before.keys() & after.keys())
-    lines += [f"~ {key}" for key in both if before[key] != after[key]]
+    old_values = _flatten(old) if old else {}
+    new_values = _flatten(new)
+    lines = [f"- {key}" for key in sorted(old_values.keys() - new_values.keys())]
+    lines += [f"+ {key}" for key in sorted(new_values.keys() - old_values.keys())]
+    common = sorted(old_values.keys() & new_values.keys())
+    lines += [f"~ {key}" for key in common if old_values[key] != new_values[key]]
     return lines
--- a/siskinroad/charts.py
+++ b/siskinroad/charts.py
@@ -1,8 +1,8 @@
-"""State charts: life cycles in files that the code interprets.
+"""State charts: life cycles defined in TOML files.
 
-A chart file names an initial state and, for each state, the next state of each
-event. A state with no events is final. An event that a state does not list is
-an error, unless the chart ignores it there by name.
+A chart file has an initial state and, for each state, the next state after each
+event. A state without events is final. An event that a state does not list is an
+error; to ignore an event, a state lists it with itself as the next state.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
     Attributes
     ----------
     name : str
-        Name of the life cycle.
+        Name of the chart.
     initial : str
-        The first state.
-    moves : dict
-        ``moves[state][event]`` is the next state.
+        The initial state.
+    transitions : dict
+        ``transitions[state][event]`` is the next state.
     """
 
     name: str
     initial: str
-    moves: dict[str, dict[str, str]]
+    transitions: dict[str, dict[str, str]]
 
     def next(self, state: str, event: str) -> str:
         """Return the state after ``event``.
@@ -46,52 +46,57 @@
             If the event is not allowed in this state.
         """
         try:
-            return self.moves[state][event]
+            return self.transitions[state][event]
         except KeyError:
             raise ProtocolError(
-                f"{event} is not allowed while {state}", step=f"chart.{self.name}"
+                f"event {event} is not allowed in state {state}",
+                step=f"chart.{self.name}",
             ) from None
 
     def allows(self, state: str, event: str) -> bool:
         """Return whether ``event`` is allowed in this state."""
-        return event in self.moves[state]
+        return event in self.transitions[state]
 
     def is_final(self, state: str) -> bool:
-        """Return whether nothing leads out of this state."""
-        return all(after == state for after in self.moves[state].values())
+        """Return whether no event leads to another state."""
+        return all(target == state for target in self.transitions[state].values())
 
     def reachable(self) -> set[str]:
-        """Return every state that can be reached from the initial one."""
+        """Return every state that can be reached from the initial state."""
         seen = {self.initial}
         frontier = [self.initial]
         while frontier:
-            for after in self.moves[frontier.pop()].values():
-                if after not in seen:
-                    seen.add(after)
-                    frontier.append(after)
+            for target in self.transitions[frontier.pop()].values():
+                if target not in seen:
+                    seen.add(target)
+                    frontier.append(target)
         return seen
 
     def events(self) -> set[str]:
-        """Return every event that some state handles."""
-        return {event for moves in self.moves.values() for event in moves}
+        """Return every event that at least one state lists."""
+        return {
+            event for transitions in self.transitions.values() for event in transitions
+        }
 
 
 @cache
 def load_chart(name: str) -> Chart:
-    """Read a chart from the package.
+    """Read a chart from the package data.
 
     Raises
     ------
     ProtocolError
-        If a move leads to a state that the chart does not have.
+        If a transition leads to a state that the chart does not define.
     """
     raw = pkgutil.get_data("siskinroad", f"charts/{name}.toml")
     assert raw is not None
     data = tomllib.loads(raw.decode())
     chart = Chart(name, data["initial"], data["states"])
-    for state, moves in chart.moves.items():
-        for event, after in moves.items():
-            if after not in chart.moves:
-                text = f"{state} leads to unknown {after} on {event}"
+    for state, transitions in chart.transitions.items():
+        for event, target in transitions.items():
+            if target not in chart.transitions:
+                text = (
+                    f"state {state} leads to undefined state {target} on event {event}"
+                )
                 raise ProtocolError(text, step=f"chart.{name}")
     return chart
--- a/siskinroad/codec.py
+++ b/siskinroad/codec.py
@@ -1,4 +1,4 @@
-"""Messages of one protocol as bytes and back."""
+"""Encoding and decoding of protocol messages."""
 
 from __future__ import annotations
 
@@ -15,19 +15,20 @@
 
 @dataclass(slots=True, frozen=True)
 class Codec:
-    """How the messages of one protocol become bytes and back.
+    """Encoder and decoder of one protocol's messages.
 
-    ``decode`` takes the bytes and the sender, and raises ``ProtocolError``.
+    ``decode`` takes the bytes and the sender's name. It raises ``ProtocolError`` if the
+    bytes are not a message.
     """
 
     encode: Callable[[Any], bytes]
     decode: Callable[[bytes, str], Any]
 
 
-def msgpack_codec(kinds: Any) -> Codec:
-    """Return the codec of a union of tagged structs."""
+def msgpack_codec(message_type: Any) -> Codec:
+    """Return the MessagePack codec of a union of tagged structs."""
     encoder = msgspec.msgpack.Encoder()
-    decoder = msgspec.msgpack.Decoder(kinds)
+    decoder = msgspec.msgpack.Decoder(message_type)
 
     def decode(data: bytes, peer: str = "") -> Any:
         try:
--- a/siskinroad/messages.py
+++ b/siskinroad/messages.py
@@ -1,4 +1,4 @@
-"""Messages between daemons; msgspec encodes them."""
+"""Messages between daemons, encoded as MessagePack."""
 
 from __future__ import annotations
 
@@ -34,7 +34,11 @@
 
 
 class ShardNews(msgspec.Struct, frozen=True, array_like=True):
-    """What an owner says of one shard; ``waits`` in seconds by workload."""
+    """An owner's update on one shard.
+
+    ``free`` is the free capacity, ``waits`` the expected wait in seconds by
+    workload.
+    """
 
     shard: str
     epoch: int
@@ -43,22 +47,26 @@
 
 
 class Echo(msgspec.Struct, frozen=True, array_like=True):
-    """Returns a peer's latest stamp, with the shards claimed against it."""
+    """Echo of a peer's latest stamp, with the shards that the sender has claimed.
+
+    ``contests`` lists the shards on which the sender has or may have a claim; on all
+    others the echo confirms the receiver's claim.
+    """
 
     stamp: float
     contests: list[str]
 
 
 class Heartbeat(msgspec.Struct, tag="hb", frozen=True):
-    """Sent to each daemon of the data centre.
+    """Heartbeat to each other daemon of the data centre.
 
     Attributes
     ----------
     stamp : float
-        The sender's loop time, which the receiver echoes.
+        The sender's loop time in seconds, which the receiver echoes.
     admits : list of str or None
-        Daemons without whose echo the sender counts no peer confirmation; None
-        if they are those of an earlier heartbeat of this incarnation.
+        Daemons whose echoes the sender needs to count its claims as confirmed by
+        peers; None if unchanged since an earlier heartbeat of this incarnation.
     """
 
     name: str
@@ -73,11 +81,11 @@
 
 
 class Digest(msgspec.Struct, tag="digest", frozen=True):
-    """News of a whole data centre for another one.
+    """Summary of a data centre's shards, sent to other data centres.
 
-    ``owners`` has the daemon and its incarnation by shard, ``stamp`` orders the
-    digests of one sender, ``relay`` asks the receiver to pass it on within its
-    data centre.
+    ``owners`` has each shard's owner and the owner's incarnation. ``stamp`` orders
+    the digests of one sender. ``relay`` asks the receiver to forward the digest within
+    its data centre.
     """
 
     name: str
@@ -91,9 +99,10 @@
 
 
 class LogTail(msgspec.Struct, tag="tail", frozen=True):
-    """The reader has read the stream to ``next``.
+    """Notice from the log's reader that it has read the stream up to ``next``.
 
-    ``stamp`` is the receiver's own, got before that read began.
+    ``stamp`` is the receiver's own stamp, which the reader had received before it began
+    that read.
     """
 
     stream: str
@@ -102,7 +111,7 @@
 
 
 class LogRecords(msgspec.Struct, tag="records", frozen=True):
-    """Consecutive appends of a stream."""
+    """Consecutive appends of a stream, the first at offset ``start``."""
 
     stream: str
     start: int
@@ -110,7 +119,7 @@
 
 
 class LogFetch(msgspec.Struct, tag="fetch", frozen=True):
-    """Asks the reader for records from ``start`` on."""
+    """Request to the log's reader for the appends from offset ``start`` on."""
 
     name: str
     stream: str
@@ -118,26 +127,26 @@
 
 
 class SnapshotWanted(msgspec.Struct, tag="snapwant", frozen=True):
-    """The sender lacks records that the log no longer has."""
+    """Request for a snapshot, as the sender lacks records trimmed from the log."""
 
     name: str
 
 
 class RevisionOffer(msgspec.Struct, tag="offer", frozen=True):
-    """A whole revision of the cell file for a daemon that has none."""
+    """A complete revision of the cell file for a daemon that lacks it."""
 
     whole: RevisionText
 
 
 class RevisionWanted(msgspec.Struct, tag="want", frozen=True):
-    """Asks for the revision in force if it is newer than ``known``."""
+    """Request for the revision in force if it is newer than ``known``."""
 
     name: str
     known: int
 
 
 class ListNews(msgspec.Struct, tag="list", frozen=True):
-    """The platform's list of the data centre's hosts."""
+    """Update with the platform's list of the data centre's hosts."""
 
     version: str
     hosts: list[ListedHost]
@@ -146,9 +155,10 @@
 class Forward(msgspec.Struct, tag="fwd", frozen=True):
     """A caller's request for a shard that the receiver owns.
 
-    Sent again until it is answered; the receiver runs each ``id`` once. It says
-    that the outcome is unknown if its own incarnation is not the one named, as
-    an earlier one may have run the request.
+    The sender repeats it until it is acknowledged or answered; the receiver runs each
+    ``id`` once. If the receiver's incarnation is not ``incarnation``, it replies that
+    the outcome is unknown, as its earlier incarnation may have run the request.
+    ``left`` is the time left to answer, in seconds.
     """
 
     name: str
@@ -163,20 +173,20 @@
 
 
 class ForwardAck(msgspec.Struct, tag="ack", frozen=True):
-    """The forwarded request has arrived."""
+    """Acknowledgement that a forwarded request has arrived."""
 
     id: str
 
 
 class ForwardAsk(msgspec.Struct, tag="fask", frozen=True):
-    """Asks after a request that was acknowledged."""
+    """Query for the reply to a forwarded request that was acknowledged."""
 
     name: str
     id: str
 
 
 class Reply(msgspec.Struct, tag="reply", frozen=True):
-    """The whole answer, or the refusal, of a forwarded request."""
+    """Reply to a forwarded request: the complete response or the refusal."""
 
     id: str
     status: int = 0
@@ -190,7 +200,7 @@
 
 
 class JobRequest(msgspec.Struct, tag="job", frozen=True):
-    """Submit, watch or cancel a job at another daemon."""
+    """Request to another daemon about a job, with the operation in ``op``."""
 
     name: str
     id: str
@@ -203,7 +213,7 @@
 
 
 class JobReply(msgspec.Struct, tag="jobreply", frozen=True):
-    """Status and JSON body of a ``JobRequest``."""
+    """Reply to a ``JobRequest``: status 0 and the result, or 1 and the refusal."""
 
     id: str
     status: int
--- a/siskinroad/suspend.py
+++ b/siskinroad/suspend.py
@@ -1,4 +1,4 @@
-"""Tells when the machine was suspended: the loop's clock does not count that."""
+"""Detection of machine suspension, during which the loop's clock stands still."""
 
 from __future__ import annotations
 
@@ -6,23 +6,24 @@
 
 __all__ = ["SuspendWatch"]
 
-# Seconds by which the two clocks may drift apart without a suspension.
-TOLERANCE = 0.2
+# Seconds by which the two clocks may drift apart without a suspension; a smaller value
+# would report drift as one.
+CLOCK_TOLERANCE_S = 0.2
 
 
 class SuspendWatch:
-    """Compares the clock that stops during a suspension with one that does not."""
+    """Detector that compares a clock stopped by suspension with one that is not."""
 
     def __init__(self) -> None:
-        self._offset = self._read()
+        self._offset = self._read_offset()
 
-    def _read(self) -> float:
+    def _read_offset(self) -> float:
         boot = time.clock_gettime(time.CLOCK_BOOTTIME)
         return boot - time.clock_gettime(time.CLOCK_MONOTONIC)
 
     def suspended(self) -> float:
-        """Return the seconds of suspension since the last call; usually 0."""
-        offset = self._read()
-        jump = offset - self._offset
+        """Return the seconds of suspension since the last call, 0 if there was none."""
+        offset = self._read_offset()
+        suspended_s = offset - self._offset
         self._offset = offset
-        return jump if jump > TOLERANCE else 0.0
+        return suspended_s if suspended_s > CLOCK_TOLERANCE_S else 0.0
--- a/tests/test_cell.py
+++ b/tests/test_cell.py
@@ -43,12 +43,12 @@
         ('name = "quote"', 'name = "render"', "gangs[0].name"),
     ],
 )
-def test_references_are_checked(old, new, place):
+def test_unknown_references_and_duplicate_names_are_reported(old, new, place):
     with pytest.raises(ConfigError, match=place.replace("[", r"\[")):
         parse_cell(small_cell().replace(old, new))
 
 
-def test_a_host_may_not_change_its_shard():
+def test_moved_hosts_lists_hosts_that_change_their_shard():
     old = parse_cell(small_cell())
     new = parse_cell(
         small_cell().replace('data_centre = "west-1"', 'data_centre = "east-1"')
@@ -57,7 +57,7 @@
     assert moved_hosts(old, parse_cell(small_cell(3, 3))) == []
 
 
-def test_diff_names_what_changes():
+def test_diff_lists_changed_and_added_entries():
     old = parse_cell(small_cell())
     new = parse_cell(small_cell().replace("weight = 3", "weight = 4"))
     assert diff(old, new) == ["~ owners.desk"]
@@ -66,20 +66,20 @@
 
 @settings(max_examples=150, derandomize=True, deadline=None)
 @given(st.data())
-def test_a_damaged_cell_is_refused_or_valid(data):
+def test_a_randomly_edited_cell_file_is_valid_or_rejected(data):
     text = small_cell()
     for _ in range(data.draw(st.integers(1, 4))):
         at = data.draw(st.integers(0, len(text)))
-        cut = data.draw(st.integers(0, 12))
-        more = data.draw(st.text(string.printable, max_size=6))
-        text = text[:at] + more + text[at + cut :]
+        removed = data.draw(st.integers(0, 12))
+        inserted = data.draw(st.text(string.printable, max_size=6))
+        text = text[:at] + inserted + text[at + removed :]
     try:
         assert isinstance(parse_cell(text), Cell)
     except ConfigError as exc:
         assert exc.problems
 
 
-def test_settings_refuse_open_listeners():
+def test_settings_reject_listeners_open_to_the_network():
     good = (ROOT / "examples" / "entry.toml").read_text()
     assert parse_settings(good).name == "trnava-1a"
     with pytest.raises(ConfigError, match="operators"):
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -9,17 +9,17 @@
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.binary(max_size=200))
-def test_noise_is_a_protocol_error(data):
-    for read in (decode, decode_batch):
+def test_random_bytes_raise_only_a_protocol_error(data):
+    for decoder in (decode, decode_batch):
         try:
-            read(data)
+            decoder(data)
         except ProtocolError:
             pass
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.data())
-def test_a_damaged_message_is_an_error_or_a_message(data):
+def test_a_corrupt_message_decodes_or_raises_a_protocol_error(data):
     msg = Heartbeat("a", 1, 2.0, None, 3, False, True, ["b"], [])
     raw = bytearray(encode(msg))
     for _ in range(data.draw(st.integers(1, 3))):
@@ -30,7 +30,7 @@
         assert exc.peer == "a"
 
 
-def test_a_message_comes_back_whole():
+def test_a_message_survives_encoding_and_a_truncated_one_raises():
     msg = Forward("a", "id", 1, "s", "quote", 2.5, "k", "/p", b"\x00\xff")
     assert decode(encode(msg)) == msg
     with pytest.raises(ProtocolError):
