--- a/siskinroad/http_client.py
+++ b/siskinroad/http_client.py
@@ -1,4 +1,7 @@
-"""An HTTP/1.1 client on asyncio streams that tells "not sent" from "unknown"."""
+"""An HTTP/1.1 client on asyncio streams.
+
+Its errors distinguish a request that was not sent from one whose outcome is unknown.
+"""
 
 from __future__ import annotations
 
@@ -12,15 +15,21 @@
 
 __all__ = ["HttpAnswer", "HttpPool"]
 
+# Most bytes read from a connection at once.
 READ_BYTES = 65536
-MAX_ANSWER_BYTES = 64 << 20
+# Largest body of a response, so that a faulty peer cannot exhaust memory.
+MAX_RESPONSE_BYTES = 64 << 20
+# Seconds after which an idle connection is not reused. It must be shorter than the
+# server's idle timeout, or requests meet connections that the server is closing.
 MAX_IDLE_TIME = 20.0
-CONNECT_TIME = 1.0
+# Seconds to open a connection. A larger value delays the error for an unreachable peer;
+# a smaller one gives false errors on slow links.
+CONNECT_TIMEOUT = 1.0
 
 
 @dataclass(slots=True, frozen=True)
 class HttpAnswer:
-    """A whole answer; header names are in lower case."""
+    """Response with its whole body; header names are in lower case."""
 
     status: int
     headers: dict[str, str]
@@ -28,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class _Conn:
+class _Connection:
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     http: h11.Connection
@@ -40,29 +49,38 @@
 
 
 @dataclass(slots=True)
-class _Peer:
-    idle: deque[_Conn] = field(default_factory=deque)
+class _PeerPool:
+    idle: deque[_Connection] = field(default_factory=deque)
     generation: int = 0
     in_use: int = 0
 
 
 class HttpPool:
-    """Kept connections to many peers.
+    """HTTP client with a pool of kept connections to each peer.
 
-    A connection that goes silent condemns every connection to the same peer
-    that was opened before it failed: what stands between the two ends may have
-    lost track of them all, and new ones work.
+    After a time-out, no connection to the same peer that was opened before it is
+    reused: a middlebox on the path may have lost the state of all of them, while new
+    connections work.
 
     Parameters
     ----------
-    connections : int
-        Most connections in use to one peer.
+    connections_per_peer : int
+        Most connections in use to one peer; further requests are not sent.
+
+    Attributes
+    ----------
+    timeouts : int
+        Requests that timed out after their connection was open.
+    opened : int
+        Connections opened.
+    bytes_out, bytes_in : int
+        Bytes sent and received.
     """
 
-    def __init__(self, connections: int = 64) -> None:
-        self.connections = connections
-        self._peers: dict[str, _Peer] = {}
-        self.silent = 0
+    def __init__(self, connections_per_peer: int = 64) -> None:
+        self.connections_per_peer = connections_per_peer
+        self._peers: dict[str, _PeerPool] = {}
+        self.timeouts = 0
         self.opened = 0
         self.bytes_out = 0
         self.bytes_in = 0
@@ -79,56 +97,58 @@
         fresh: bool = False,
         host: str = "",
     ) -> HttpAnswer:
-        """Send one request and return its whole answer.
+        """Send one request and return its whole response.
 
         Parameters
         ----------
         address : str
-            IPv4 address and port.
+            IPv4 address and port of the peer.
         limit : float
             Seconds for the whole exchange.
         fresh : bool
-            Open a new connection instead of reusing one.
+            Whether to open a new connection instead of reusing one.
         host : str
             Value of the ``Host`` header; empty for the address.
 
         Raises
         ------
         NotSentError
-            No byte of the request was given to the network.
+            If no byte of the request was sent.
         OutcomeUnknownError
-            The request may have been received.
+            If the request may have been received.
         """
-        sent = False
-        conn: _Conn | None = None
-        peer = self._peers.setdefault(address, _Peer())
-        if peer.in_use >= self.connections:
-            raise NotSentError("too many connections", step="http", peer=address)
+        is_sent = False
+        conn: _Connection | None = None
+        peer = self._peers.setdefault(address, _PeerPool())
+        if peer.in_use >= self.connections_per_peer:
+            raise NotSentError("too many connections in use", step="http", peer=address)
         peer.in_use += 1
         try:
             async with asyncio.timeout(limit):
                 conn = await self._connect(address, fresh)
-                sent = True
-                answer = await self._exchange(
+                is_sent = True
+                response = await self._exchange(
                     conn, host or address, method, target, body, headers
                 )
         except TimeoutError:
-            self._condemn(address, conn)
-            if not sent:
-                raise NotSentError("no connection", step="http", peer=address) from None
+            self._retire_connections(address, conn)
+            if not is_sent:
+                raise NotSentError(
+                    "connection not opened in time", step="http", peer=address
+                ) from None
             raise OutcomeUnknownError("no answer", step="http", peer=address) from None
         except (OSError, h11.ProtocolError, EOFError) as exc:
-            self._drop(conn)
-            if not sent:
+            self._abort(conn)
+            if not is_sent:
                 raise NotSentError(str(exc), step="http", peer=address) from exc
             raise OutcomeUnknownError(str(exc), step="http", peer=address) from exc
         except BaseException:
-            self._drop(conn)
+            self._abort(conn)
             raise
         finally:
             peer.in_use -= 1
-        self._keep(address, conn)
-        return answer
+        self._release(address, conn)
+        return response
 
     def close(self) -> None:
         """Close every kept connection."""
@@ -136,26 +156,30 @@
             while peer.idle:
                 peer.idle.pop().abort()
 
-    async def _connect(self, address: str, fresh: bool) -> _Conn:
+    async def _connect(self, address: str, fresh: bool) -> _Connection:
         peer = self._peers[address]
         now = asyncio.get_running_loop().time()
         while peer.idle and not fresh:
             conn = peer.idle.pop()
-            young = now - conn.idle_since < MAX_IDLE_TIME
-            if conn.generation == peer.generation and young and not _closed(conn):
+            is_recent = now - conn.idle_since < MAX_IDLE_TIME
+            if (
+                conn.generation == peer.generation
+                and is_recent
+                and not _is_closed(conn)
+            ):
                 return conn
             conn.abort()
         ip, _, port = address.rpartition(":")
-        async with asyncio.timeout(CONNECT_TIME):
+        async with asyncio.timeout(CONNECT_TIMEOUT):
             reader, writer = await asyncio.open_connection(ip, int(port))
         self.opened += 1
-        return _Conn(
+        return _Connection(
             reader, writer, h11.Connection(h11.CLIENT), generation=peer.generation
         )
 
     async def _exchange(
         self,
-        conn: _Conn,
+        conn: _Connection,
         host: str,
         method: str,
         target: str,
@@ -170,9 +194,9 @@
         self.bytes_out += len(data)
         conn.writer.write(data)
         await conn.writer.drain()
-        return await self._answer(conn)
+        return await self._read_response(conn)
 
-    async def _answer(self, conn: _Conn) -> HttpAnswer:
+    async def _read_response(self, conn: _Connection) -> HttpAnswer:
         head: h11.Response | None = None
         body = bytearray()
         while True:
@@ -182,39 +206,41 @@
                     head = event
                 case h11.Data():
                     body += event.data
-                    if len(body) > MAX_ANSWER_BYTES:
-                        raise EOFError("answer too large")
+                    if len(body) > MAX_RESPONSE_BYTES:
+                        raise EOFError("response too large")
                 case h11.EndOfMessage():
                     break
                 case h11.ConnectionClosed():
-                    raise EOFError("connection closed before the answer")
+                    raise EOFError("connection closed before the end of the response")
                 case _ if event is h11.NEED_DATA:
                     data = await conn.reader.read(READ_BYTES)
                     self.bytes_in += len(data)
                     conn.http.receive_data(data)
         assert head is not None
-        names = {k.decode("latin-1"): v.decode("latin-1") for k, v in head.headers}
-        return HttpAnswer(head.status_code, names, bytes(body))
-
-    def _keep(self, address: str, conn: _Conn) -> None:
-        done = conn.http.our_state is h11.DONE and conn.http.their_state is h11.DONE
-        if not done:
+        header_fields = {
+            k.decode("latin-1"): v.decode("latin-1") for k, v in head.headers
+        }
+        return HttpAnswer(head.status_code, header_fields, bytes(body))
+
+    def _release(self, address: str, conn: _Connection) -> None:
+        is_done = conn.http.our_state is h11.DONE and conn.http.their_state is h11.DONE
+        if not is_done:
             conn.abort()
             return
         conn.http.start_next_cycle()
         conn.idle_since = asyncio.get_running_loop().time()
         self._peers[address].idle.append(conn)
 
-    def _condemn(self, address: str, conn: _Conn | None) -> None:
-        self._drop(conn)
+    def _retire_connections(self, address: str, conn: _Connection | None) -> None:
+        self._abort(conn)
         if conn is not None:
-            self.silent += 1
+            self.timeouts += 1
             self._peers[address].generation += 1
 
-    def _drop(self, conn: _Conn | None) -> None:
+    def _abort(self, conn: _Connection | None) -> None:
         if conn is not None:
             conn.abort()
 
 
-def _closed(conn: _Conn) -> bool:
+def _is_closed(conn: _Connection) -> bool:
     return conn.reader.at_eof() or conn.writer.is_closing()
--- a/siskinroad/httpd.py
+++ b/siskinroad/httpd.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 server on asyncio streams; h11 does the protocol."""
+"""An HTTP/1.1 server on asyncio streams, with h11 as the protocol parser."""
 
 from __future__ import annotations
 
@@ -16,25 +16,41 @@
     "serve_connection",
 ]
 
+# Most bytes read from a connection at once.
 READ_BYTES = 65536
 SERVER_NAME = b"siskinroad"
 
 
 @dataclass(slots=True, frozen=True)
 class HttpLimits:
-    """Bounds on one listener; times in seconds, sizes in bytes."""
+    """Limits of one listener; times in seconds, sizes in bytes.
+
+    Attributes
+    ----------
+    header_bytes, body_bytes : int
+        Largest header block and body of a request.
+    request_timeout : float
+        Time for the header block to arrive, and again for the body, so that a slow
+        sender cannot hold a connection.
+    idle_timeout : float
+        Time until the first byte of a request; then the connection is closed.
+    write_timeout : float
+        Time for a client to accept a response.
+    connections : int
+        Most open connections; further ones are aborted.
+    """
 
     header_bytes: int = 16384
     body_bytes: int = 16 << 20
-    request_time: float = 15.0
-    idle_time: float = 75.0
-    write_time: float = 30.0
+    request_timeout: float = 15.0
+    idle_timeout: float = 75.0
+    write_timeout: float = 30.0
     connections: int = 512
 
 
 @dataclass(slots=True)
 class HttpRequest:
-    """One request with its whole body; header names are in lower case."""
+    """Request with its whole body; header names are in lower case."""
 
     method: str
     path: str
@@ -46,7 +62,7 @@
 
 @dataclass(slots=True)
 class HttpResponse:
-    """One whole response."""
+    """Response with its whole body."""
 
     status: int
     body: bytes = b""
@@ -74,16 +90,16 @@
 
 @dataclass(slots=True)
 class _Connection:
-    """One accepted connection."""
+    """Accepted connection, with the state of its HTTP exchange."""
 
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     handler: Handler
     limits: HttpLimits
-    count: RefusalCounter
-    draining: Callable[[], bool]
+    count_refusal: RefusalCounter
+    is_draining: Callable[[], bool]
     http: h11.Connection = field(init=False)
-    busy: bool = False
+    is_busy: bool = False
 
     def __post_init__(self) -> None:
         self.http = h11.Connection(
@@ -91,32 +107,32 @@
         )
 
     async def run(self) -> None:
-        """Serve requests one after another until the connection ends."""
-        while await self._cycle():
+        """Serve requests in sequence until the connection ends."""
+        while await self._serve_one():
             self.http.start_next_cycle()
 
-    async def _cycle(self) -> bool:
+    async def _serve_one(self) -> bool:
         try:
-            req = await self._receive()
+            req = await self._read_request()
         except _BadRequestError as exc:
-            self.count(exc.reason)
-            await self._refuse(exc)
+            self.count_refusal(exc.reason)
+            await self._send_error(exc)
             return False
         if req is None:
             return False
-        self.busy = True
+        self.is_busy = True
         response = await self.handler(req)
         await self._send(response)
-        self.busy = False
+        self.is_busy = False
         return self.http.our_state is h11.DONE and self.http.their_state is h11.DONE
 
-    async def _receive(self) -> HttpRequest | None:
-        head = await self._head()
+    async def _read_request(self) -> HttpRequest | None:
+        head = await self._read_head()
         if head is None:
             return None
         body = bytearray()
         try:
-            async with asyncio.timeout(self.limits.request_time):
+            async with asyncio.timeout(self.limits.request_timeout):
                 while True:
                     event = await self._next_event()
                     if isinstance(event, h11.EndOfMessage):
@@ -133,14 +149,14 @@
         method = head.method.decode("latin-1")
         return HttpRequest(method, path, query, headers, bytes(body))
 
-    async def _head(self) -> h11.Request | None:
+    async def _read_head(self) -> h11.Request | None:
         try:
-            async with asyncio.timeout(self.limits.idle_time):
-                await self._first_byte()
+            async with asyncio.timeout(self.limits.idle_timeout):
+                await self._await_first_byte()
         except TimeoutError:
             return None
         try:
-            async with asyncio.timeout(self.limits.request_time):
+            async with asyncio.timeout(self.limits.request_timeout):
                 event = await self._next_event()
         except TimeoutError:
             raise _BadRequestError(408, "slow_headers") from None
@@ -150,13 +166,13 @@
             raise _BadRequestError(400, "garbage")
         return event
 
-    async def _first_byte(self) -> None:
+    async def _await_first_byte(self) -> None:
         data, closed = self.http.trailing_data
         if data or closed:
             return
-        self._feed(await self.reader.read(READ_BYTES))
+        self._parse(await self.reader.read(READ_BYTES))
 
-    def _feed(self, data: bytes) -> None:
+    def _parse(self, data: bytes) -> None:
         try:
             self.http.receive_data(data)
         except RuntimeError:
@@ -173,11 +189,11 @@
             if event is not h11.NEED_DATA:
                 return event
             if self.http.they_are_waiting_for_100_continue:
-                go = h11.InformationalResponse(status_code=100, headers=[])
-                self.writer.write(self.http.send(go) or b"")
-            self._feed(await self.reader.read(READ_BYTES))
+                interim = h11.InformationalResponse(status_code=100, headers=[])
+                self.writer.write(self.http.send(interim) or b"")
+            self._parse(await self.reader.read(READ_BYTES))
 
-    async def _refuse(self, exc: _BadRequestError) -> None:
+    async def _send_error(self, exc: _BadRequestError) -> None:
         if self.http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         text = f'{{"reason":"{exc.reason}","step":"http.receive","outcome":"not run"}}'
@@ -190,13 +206,13 @@
             ("content-length", str(len(response.body))),
             *response.headers,
         ]
-        if response.close or self.draining():
+        if response.close or self.is_draining():
             headers.append(("connection", "close"))
         head = h11.Response(status_code=response.status, headers=headers)
         self.writer.write(self.http.send(head) or b"")
         self.writer.write(self.http.send(h11.Data(data=response.body)) or b"")
         self.writer.write(self.http.send(h11.EndOfMessage()) or b"")
-        async with asyncio.timeout(self.limits.write_time):
+        async with asyncio.timeout(self.limits.write_timeout):
             await self.writer.drain()
 
 
@@ -205,7 +221,7 @@
     writer: asyncio.StreamWriter,
     handler: Handler,
     limits: HttpLimits | None = None,
-    count: RefusalCounter = lambda reason: None,
+    count_refusal: RefusalCounter = lambda reason: None,
 ) -> None:
     """Serve one connection until it ends.
 
@@ -213,44 +229,44 @@
     ----------
     handler : callable
         Returns the response to each request.
-    count : callable
-        Called with the reason of each request that is refused here.
+    count_refusal : callable
+        Called with the reason of each request refused before it reaches the handler.
     """
     conn = _Connection(
-        reader, writer, handler, limits or HttpLimits(), count, lambda: False
+        reader, writer, handler, limits or HttpLimits(), count_refusal, lambda: False
     )
     await conn.run()
 
 
 class HttpServer:
-    """One listener.
+    """HTTP server with one listener.
 
     Parameters
     ----------
     handler : callable
         Returns the response to each request.
     limits : HttpLimits
-        Bounds on connections and messages.
-    count : callable
-        Called with the reason of each refusal below HTTP's own semantics.
+        Limits on connections and messages.
+    count_refusal : callable
+        Called with the reason of each refused request and broken connection.
     """
 
     def __init__(
         self,
         handler: Handler,
         limits: HttpLimits | None = None,
-        count: RefusalCounter = lambda reason: None,
+        count_refusal: RefusalCounter = lambda reason: None,
     ) -> None:
         self.handler = handler
         self.limits = limits or HttpLimits()
-        self.count = count
+        self.count_refusal = count_refusal
         self.address = ""
         self._server: asyncio.Server | None = None
-        self._open: dict[asyncio.Task[None], _Connection] = {}
+        self._connections: dict[asyncio.Task[None], _Connection] = {}
         self._draining = False
 
     async def listen(self, address: str) -> str:
-        """Listen on ``address``; port 0 takes a free one. Return the address."""
+        """Listen on ``address``, where port 0 takes a free one; return the address."""
         ip, _, port = address.rpartition(":")
         self._server = await asyncio.start_server(
             self._accept, ip, int(port), backlog=1024
@@ -260,30 +276,30 @@
         return self.address
 
     async def drain(self) -> None:
-        """Accept nothing new; let every request in progress finish."""
+        """Stop accepting connections and wait for the requests in progress."""
         self._draining = True
         if self._server is not None:
             self._server.close()
-        for task, conn in list(self._open.items()):
-            if not conn.busy:
+        for task, conn in list(self._connections.items()):
+            if not conn.is_busy:
                 task.cancel()
-        if self._open:
-            await asyncio.wait(self._open)
+        if self._connections:
+            await asyncio.wait(self._connections)
 
     async def close(self) -> None:
         """Close the listener and all connections at once."""
         if self._server is not None:
             self._server.close()
-        for task in list(self._open):
+        for task in list(self._connections):
             task.cancel()
-        if self._open:
-            await asyncio.wait(self._open)
+        if self._connections:
+            await asyncio.wait(self._connections)
 
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        if len(self._open) >= self.limits.connections:
-            self.count("too_many_connections")
+        if len(self._connections) >= self.limits.connections:
+            self.count_refusal("too_many_connections")
             writer.transport.abort()
             return
         conn = _Connection(
@@ -291,18 +307,18 @@
             writer,
             self.handler,
             self.limits,
-            self.count,
+            self.count_refusal,
             lambda: self._draining,
         )
         task = asyncio.current_task()
         assert task is not None
-        self._open[task] = conn
+        self._connections[task] = conn
         try:
             await conn.run()
         except (ConnectionError, TimeoutError, asyncio.CancelledError):
-            self.count("connection_lost")
+            self.count_refusal("connection_lost")
         except h11.LocalProtocolError:
-            self.count("protocol")
+            self.count_refusal("protocol")
         finally:
-            del self._open[task]
+            del self._connections[task]
             writer.close()
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""The client tells "not sent" from "unknown", and drops lost connections."""
+"""Tests of the HTTP client: not-sent errors, unknown outcomes, stale connections."""
 
 import asyncio
 
@@ -10,11 +10,13 @@
 from siskinroad.http_client import HttpPool
 
 
-async def serve(answer):
+async def serve(respond):
+    """Serve raw replies; None keeps silent, one that ends in ``!`` is cut off."""
+
     async def accept(reader, writer):
         while True:
             head = await reader.readuntil(b"\r\n\r\n")
-            reply = answer(head)
+            reply = respond(head)
             if reply is None:
                 await asyncio.sleep(1e6)
             writer.write(reply)
@@ -29,7 +31,7 @@
 OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
 
-def test_a_connection_is_kept_and_a_refused_one_was_not_sent():
+def test_a_connection_is_reused_and_a_refused_one_raises_not_sent():
     async def main():
         address = await serve(lambda head: OK)
         pool = HttpPool()
@@ -43,17 +45,21 @@
     run(main())
 
 
-def test_a_truncated_answer_never_counts_as_whole():
+def test_a_truncated_response_leaves_the_outcome_unknown():
+    """A body cut off by a lost connection must not be returned as whole."""
+
     async def main():
-        cut = b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\ncut!"
-        address = await serve(lambda head: cut)
+        truncated = b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\ncut!"
+        address = await serve(lambda head: truncated)
         with pytest.raises(OutcomeUnknownError):
             await HttpPool().request(address, "GET", "/")
 
     run(main())
 
 
-def test_a_silent_connection_condemns_the_older_ones():
+def test_a_timeout_retires_the_older_connections_to_the_peer():
+    """A middlebox that lost one connection may have lost all that were open then."""
+
     async def main():
         silent = {"now": False}
         address = await serve(lambda head: None if silent["now"] else OK)
@@ -65,7 +71,7 @@
             await pool.request(address, "GET", "/", limit=2.0)
         silent["now"] = False
         assert (await pool.request(address, "GET", "/")).status == 200
-        assert (pool.opened, pool.silent) == (4, 1)
+        assert (pool.opened, pool.timeouts) == (4, 1)
 
     run(main())
 
@@ -73,7 +79,7 @@
 def test_connections_to_a_peer_are_limited():
     async def main():
         address = await serve(lambda head: None)
-        pool = HttpPool(connections=1)
+        pool = HttpPool(connections_per_peer=1)
         first = asyncio.create_task(pool.request(address, "GET", "/", limit=3.0))
         await asyncio.sleep(1)
         with pytest.raises(NotSentError, match="too many"):
--- a/tests/test_httpd.py
+++ b/tests/test_httpd.py
@@ -1,4 +1,4 @@
-"""The HTTP listener: whole requests in, whole answers out, all else bounded."""
+"""Tests of the HTTP server: pipelining, invalid input, slow clients and draining."""
 
 import asyncio
 
@@ -16,7 +16,9 @@
 )
 
 
-class Writer:
+class FakeWriter:
+    """Stream writer that keeps what is written."""
+
     def __init__(self):
         self.data = b""
 
@@ -32,7 +34,8 @@
 
 
 async def exchange(chunks, limits=None, eof=True, pause=0.0):
-    reader, writer, counts = asyncio.StreamReader(), Writer(), []
+    """Send chunks to a connection; return its output and the counted refusals."""
+    reader, writer, counts = asyncio.StreamReader(), FakeWriter(), []
     serving = asyncio.create_task(
         serve_connection(reader, writer, echo, limits, counts.append)  # type: ignore
     )
@@ -57,7 +60,7 @@
     assert [body.rstrip(b"HT") for body in bodies[1:]] == [b"one", b"two", b"three"]
 
 
-def test_a_byte_at_a_time_is_served():
+def test_a_request_sent_byte_by_byte_is_served():
     data, counts = run(exchange([bytes([b]) for b in post(b"slow")]))
     assert data.endswith(b"slow")
     assert counts == []
@@ -73,16 +76,19 @@
         ([b"GET / HTTP/1.1\r\nno colon\r\n\r\n"], {}, b"400", "garbage"),
     ],
 )
-def test_bad_input_is_refused_and_counted(chunks, limits, status, reason):
+def test_invalid_input_is_refused_as_not_run_and_counted(
+    chunks, limits, status, reason
+):
     data, counts = run(exchange(chunks, HttpLimits(**limits)))
     assert data.startswith(b"HTTP/1.1 " + status)
     assert b'"outcome":"not run"' in data
     assert counts[0].startswith(reason)
 
 
-def test_slow_senders_and_silent_connections_end():
-    half = post(b"never whole")[:-3]
-    data, counts = run(exchange([half], eof=False))
+def test_slow_senders_and_idle_connections_are_closed():
+    """Clients that never finish a request would use up the connections."""
+    partial = post(b"never whole")[:-3]
+    data, counts = run(exchange([partial], eof=False))
     assert data.startswith(b"HTTP/1.1 408")
     assert counts == ["slow_body"]
     data, counts = run(exchange([b"POST /x HT"], eof=False))
@@ -92,19 +98,20 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.lists(st.binary(max_size=60), max_size=5), st.integers(0, 60))
-def test_any_bytes_end_in_an_answer_or_a_close(noise, cut):
+def test_any_bytes_lead_to_a_response_or_a_close(noise, cut):
+    """No input may raise another error or leave the connection open."""
     good = post(b"body")
     data, _ = run(exchange([good[:cut], *noise, good[cut:]]))
     assert data == b"" or data.startswith(b"HTTP/1.1 ")
 
 
-def test_draining_finishes_what_is_in_progress():
+def test_a_drain_finishes_the_request_in_progress():
     async def main():
-        async def slow(req):
+        async def respond_slowly(req):
             await asyncio.sleep(5)
             return HttpResponse(200, b"done")
 
-        server = HttpServer(slow)
+        server = HttpServer(respond_slowly)
         address = await server.listen("127.0.0.1:0")
         ip, _, port = address.partition(":")
         reader, writer = await asyncio.open_connection(ip, int(port))
