--- a/siskinroad/callers.py
+++ b/siskinroad/callers.py
@@ -1,4 +1,4 @@
-"""The callers' listener: requests, and jobs submitted, watched, cancelled."""
+"""HTTP API for callers: requests to services; submission and control of jobs."""
 
 from __future__ import annotations
 
@@ -19,31 +19,34 @@
 
 KEY_HEADER = "idempotency-key"
 TIMEOUT_HEADER = "siskinroad-timeout"
-MAX_KEY = 128
+# Longest idempotency key, in characters. Keys are stored, so that a larger value costs
+# memory and log space; a smaller one refuses keys that callers use.
+MAX_KEY_CHARS = 128
 
 log = logging.getLogger("siskinroad.callers")
 
 
 class Callers:
-    """Answers callers.
+    """Request handler of the callers' listener.
 
-    ``/v1/services/NAME[/PATH]`` takes a request to a service,
+    ``/v1/services/NAME[/PATH]`` sends a request to a service,
     ``POST /v1/jobs/WORKLOAD?count=N`` submits a job, ``GET /v1/jobs/JOB?wait=S``
-    watches it and ``DELETE /v1/jobs/JOB`` cancels it.
+    returns its state, after waiting up to S seconds for its end, and
+    ``DELETE /v1/jobs/JOB`` cancels it.
     """
 
     def __init__(self, daemon: Daemon) -> None:
         self.daemon = daemon
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
-        """Return the response to one request; every failure is a refusal."""
+        """Return the response to one request; report every failure as a refusal."""
         try:
             return await self._route(req)
         except Refusal as exc:
             self.daemon.metrics.refusals.labels(exc.reason.value, exc.step).inc()
             return refusal_response(exc)
         except Exception as exc:
-            log.exception("callers: a request failed")
+            log.exception("callers: unexpected error while serving a request")
             refusal = Refusal(
                 Reason.INTERNAL,
                 step="callers",
@@ -57,33 +60,33 @@
         parts = req.path.split("/", 4)
         match (req.method, parts):
             case (_, ["", "v1", "services", name, *_]):
-                return await self._service(req, name)
+                return await self._serve(req, name)
             case ("POST", ["", "v1", "jobs", name]):
-                return await self._submit(req, name)
+                return await self._submit_job(req, name)
             case ("GET", ["", "v1", "jobs", job]):
-                wait = _number(req.query.get("wait", "0"), "wait")
+                wait = _parse_number(req.query.get("wait", "0"), "wait")
                 return json_response(200, await self.daemon.jobs.watch(job, wait))
             case ("DELETE", ["", "v1", "jobs", job]):
                 return json_response(200, await self.daemon.jobs.cancel(job))
-        text = f"no {req.method} at {req.path[:80]}"
+        text = f"no route for {req.method} {req.path[:80]}"
         raise Refusal(Reason.UNKNOWN_SERVICE, step="callers", message=text)
 
-    def _workload(self, name: str) -> Workload:
+    def _find_workload(self, name: str) -> Workload:
         workload = self.daemon.cell().workloads.get(name)
         if workload is None:
             text = f"the cell has no workload {name[:80]}"
             raise Refusal(Reason.UNKNOWN_SERVICE, step="callers", message=text)
         return workload
 
-    async def _service(self, req: HttpRequest, name: str) -> HttpResponse:
-        workload = self._workload(name)
+    async def _serve(self, req: HttpRequest, name: str) -> HttpResponse:
+        workload = self._find_workload(name)
         if workload.kind != "service":
-            text = f"{name} takes jobs, not requests"
+            text = f"{name} is a job workload; it accepts no requests"
             raise Refusal(Reason.BAD_REQUEST, step="callers", message=text)
         if len(req.body) > workload.max_body:
             text = f"body is larger than {workload.max_body} bytes"
             raise Refusal(Reason.BAD_REQUEST, step="callers", message=text)
-        request = self._request(req, workload)
+        request = self._build_request(req, workload)
         if not self.daemon.bytes.take(len(req.body), workload.urgency):
             raise Refusal(Reason.SHED, step="callers", retry_after=1.0)
         try:
@@ -93,40 +96,42 @@
         self.daemon.metrics.answers.labels(name).inc()
         return HttpResponse(answer.status, answer.body, answer.content_type)
 
-    def _request(self, req: HttpRequest, workload: Workload) -> Request:
-        key = _key(req)
+    def _build_request(self, req: HttpRequest, workload: Workload) -> Request:
+        key = _idempotency_key(req)
         if workload.key_required and not key:
             text = f"{workload.name} needs the header {KEY_HEADER}"
             raise Refusal(Reason.KEY_REQUIRED, step="callers", message=text)
         start = workload.start_within or workload.timeout
         limit = start + workload.timeout
         if TIMEOUT_HEADER in req.headers:
-            limit = min(limit, _number(req.headers[TIMEOUT_HEADER], TIMEOUT_HEADER))
+            limit = min(
+                limit, _parse_number(req.headers[TIMEOUT_HEADER], TIMEOUT_HEADER)
+            )
         path = req.path.removeprefix("/v1/services")
         now = asyncio.get_running_loop().time()
         return Request(workload, path, req.body, key, now + limit)
 
-    async def _submit(self, req: HttpRequest, name: str) -> HttpResponse:
+    async def _submit_job(self, req: HttpRequest, name: str) -> HttpResponse:
         if not self.daemon.ready:
             self.daemon.cell()
             raise Refusal(Reason.DRAINING, step="callers", retry_after=1.0)
-        workload = self._workload(name)
-        count = int(_number(req.query.get("count", "1"), "count"))
+        workload = self._find_workload(name)
+        count = int(_parse_number(req.query.get("count", "1"), "count"))
         view = await self.daemon.jobs.submit(
-            self.daemon.cell(), workload, count, req.body, _key(req)
+            self.daemon.cell(), workload, count, req.body, _idempotency_key(req)
         )
         return json_response(202, view)
 
 
-def _key(req: HttpRequest) -> str:
+def _idempotency_key(req: HttpRequest) -> str:
     key = req.headers.get(KEY_HEADER, "")
-    if len(key) > MAX_KEY or not key.isprintable():
-        text = f"{KEY_HEADER} must be at most {MAX_KEY} printable characters"
+    if len(key) > MAX_KEY_CHARS or not key.isprintable():
+        text = f"{KEY_HEADER} must be at most {MAX_KEY_CHARS} printable characters"
         raise Refusal(Reason.BAD_REQUEST, step="callers", message=text)
     return key
 
 
-def _number(text: str, name: str) -> float:
+def _parse_number(text: str, name: str) -> float:
     try:
         value = float(text)
     except ValueError:
--- a/siskinroad/listeners.py
+++ b/siskinroad/listeners.py
@@ -1,4 +1,4 @@
-"""The daemon's listeners and its life as a process."""
+"""Listeners of a daemon, and the process from start to planned stop."""
 
 from __future__ import annotations
 
@@ -18,45 +18,50 @@
 
 __all__ = ["EXIT_DRAINED", "EXIT_KILLED", "EXIT_TIMEOUT", "Node", "run_node"]
 
+# Exit codes: the drain finished, it ran out of time, or a second signal ended it.
 EXIT_DRAINED = 0
 EXIT_TIMEOUT = 6
 EXIT_KILLED = 7
+# Most bytes in the body of one request, so that none exhausts memory; a smaller value
+# refuses larger cell files (operators) or payloads (callers).
 MAX_OPERATOR_BODY = 8 << 20
 MAX_CALLER_BODY = 16 << 20
-READY_PAUSE = 1.0
+# Seconds for which the callers' listener stays open after the drain has begun, so that
+# load balancers see ``/readyz`` fail first. A smaller value breaks new connections.
+READINESS_DELAY = 1.0
 
 log = logging.getLogger("siskinroad.node")
 
 
 class Node:
-    """A daemon with its listeners open.
+    """Daemon with its listeners for callers, operators and peers.
 
     Attributes
     ----------
     callers, operators, peers : str
-        The addresses listened on.
+        The addresses that are listened on; empty before ``open``.
     """
 
     def __init__(self, cfg: Settings, incarnation: int, rng: random.Random) -> None:
         self.cfg = cfg
-        self.links = ZmqPeers(cfg)
+        self.transport = ZmqPeers(cfg)
         self.daemon = Daemon(
             cfg,
             incarnation,
             HttpPlatform(cfg.platform),
             HttpUpstreams(),
-            self.links,
+            self.transport,
             rng,
         )
-        count = self.daemon.metrics.http.labels
+        refusals = self.daemon.metrics.http.labels
         limits = HttpLimits(connections=cfg.max_connections, body_bytes=MAX_CALLER_BODY)
         self.caller_http = HttpServer(
-            Callers(self.daemon).handle, limits, lambda reason: count(reason).inc()
+            Callers(self.daemon).handle, limits, lambda reason: refusals(reason).inc()
         )
         self.operator_http = HttpServer(
             Operators(self.daemon).handle,
             HttpLimits(connections=64, body_bytes=MAX_OPERATOR_BODY),
-            lambda reason: count(reason).inc(),
+            lambda reason: refusals(reason).inc(),
         )
         self.callers = ""
         self.operators = ""
@@ -64,28 +69,28 @@
 
     async def open(self) -> None:
         """Open every listener and start the daemon."""
-        self.peers = self.links.open()
+        self.peers = self.transport.open()
         self.operators = await self.operator_http.listen(self.cfg.operators)
         self.callers = await self.caller_http.listen(self.cfg.callers)
         self.daemon.start()
         log.info(
-            "node: callers %s, operators %s, peers %s",
+            "node: listening for callers on %s, operators on %s, peers on %s",
             self.callers,
             self.operators,
             self.peers,
         )
 
     async def drain(self) -> bool:
-        """Stop as planned; return False if the time for it ran out."""
+        """Stop as planned; return False if the drain ran out of time."""
         draining = asyncio.create_task(self.daemon.drain())
-        await asyncio.sleep(READY_PAUSE)
+        await asyncio.sleep(READINESS_DELAY)
         await self.caller_http.drain()
-        done = await draining
+        is_drained = await draining
         await self.operator_http.close()
-        return done
+        return is_drained
 
     async def close(self) -> None:
-        """Close everything at once."""
+        """Close the listeners, the daemon and its clients at once."""
         await self.caller_http.close()
         await self.operator_http.close()
         await self.daemon.close()
@@ -94,7 +99,7 @@
 
 
 async def run_node(node: Node) -> int:
-    """Run until a signal ends it; return the exit code.
+    """Run a node until a signal ends it; return the exit code.
 
     The first SIGTERM or SIGINT begins a planned stop. A second one ends the
     process at once, as a crash would.
--- a/siskinroad/operators.py
+++ b/siskinroad/operators.py
@@ -1,4 +1,4 @@
-"""The operators' listener: whole files in, read-only views out, metrics."""
+"""HTTP API for operators: cell files, read-only views, health and metrics."""
 
 from __future__ import annotations
 
@@ -19,22 +19,26 @@
 __all__ = ["Operators"]
 
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+# Paths that are served without a token.
 OPEN_PATHS = ("/healthz", "/readyz", "/metrics")
 
 log = logging.getLogger("siskinroad.operators")
 
 
 class Operators:
-    """Answers operators; all but health and metrics needs their token."""
+    """Request handler of the operators' listener.
+
+    All paths except health and metrics need the operators' token, if one is set.
+    """
 
     def __init__(self, daemon: Daemon) -> None:
         self.daemon = daemon
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
         """Return the response to one request."""
-        if req.path not in OPEN_PATHS and not self._authorized(req):
+        if req.path not in OPEN_PATHS and not self._is_authorized(req):
             self.daemon.metrics.refusals.labels("unauthorized", "operators").inc()
-            return json_response(401, {"error": "token is missing or wrong"})
+            return json_response(401, {"error": "bearer token is missing or wrong"})
         try:
             return await self._route(req)
         except ConfigError as exc:
@@ -45,16 +49,16 @@
             body = {"error": exc.message, "revision": revision}
             return json_response(409, body)
         except PlatformError as exc:
-            text = f"not known whether it is in force: {exc}; apply it again"
+            text = f"unknown whether the file is in force: {exc}; apply it again"
             return json_response(504, {"error": text})
 
-    def _authorized(self, req: HttpRequest) -> bool:
-        wanted = self.daemon.cfg.operator_token_sha256
-        if not wanted:
+    def _is_authorized(self, req: HttpRequest) -> bool:
+        expected_hash = self.daemon.cfg.operator_token_sha256
+        if not expected_hash:
             return True
         scheme, _, token = req.headers.get("authorization", "").partition(" ")
         return scheme.lower() == "bearer" and hmac.compare_digest(
-            hash_token(token), wanted
+            hash_token(token), expected_hash
         )
 
     async def _route(self, req: HttpRequest) -> HttpResponse:
@@ -65,7 +69,7 @@
             case ("GET", "/readyz"):
                 return json_response(200 if daemon.ready else 503, daemon.state)
             case ("GET", "/metrics"):
-                self._gauges()
+                self._update_gauges()
                 return HttpResponse(200, daemon.metrics.render(), METRICS_TYPE)
             case ("GET", "/v1/status"):
                 return json_response(200, status_of(daemon))
@@ -77,8 +81,10 @@
                 key = path.removeprefix("/v1/explain/")
                 return json_response(200, {"text": await self._explain(key)})
             case (method, "/v1/cell"):
-                return await self._cell(method, req)
-        return json_response(404, {"error": f"no {req.method} at {req.path[:80]}"})
+                return await self._handle_cell(method, req)
+        return json_response(
+            404, {"error": f"no route for {req.method} {req.path[:80]}"}
+        )
 
     async def _explain(self, key: str) -> str:
         try:
@@ -86,7 +92,7 @@
         except Refusal as exc:
             return f"{key}: {exc}."
 
-    async def _cell(self, method: str, req: HttpRequest) -> HttpResponse:
+    async def _handle_cell(self, method: str, req: HttpRequest) -> HttpResponse:
         config = self.daemon.configuration
         text = req.body.decode("utf-8", "replace")
         match method:
@@ -101,14 +107,16 @@
             case "PUT":
                 expect = req.query.get("expect")
                 if expect is not None and not expect.isdecimal():
-                    return json_response(400, {"error": "expect must be a revision"})
+                    return json_response(
+                        400, {"error": "expect must be a revision number"}
+                    )
                 number = int(expect) if expect is not None else None
                 applied = await self.daemon.publisher.apply(text, number)
                 log.info("operators: revision %d applied", applied.revision)
                 return json_response(200, applied)
-        return json_response(405, {"error": "use GET, POST or PUT"})
+        return json_response(405, {"error": "method not allowed; use GET, POST or PUT"})
 
-    def _gauges(self) -> None:
+    def _update_gauges(self) -> None:
         daemon = self.daemon
         metrics = daemon.metrics
         used = [0, 0, 0]
