--- a/siskinroad/appender.py
+++ b/siskinroad/appender.py
@@ -1,8 +1,8 @@
-"""Group commit: records that wait together go out as one append.
+"""Group commit: records that are pending together are written as one append.
 
-A record's future is done once its append is confirmed. This is the tracker of
-replies held until the log acknowledges them that MemoryDB uses ("Amazon
-MemoryDB: A Fast and Durable Memory-First Cloud Database", section 3.2).
+A record's future is done once the log has confirmed its append. MemoryDB likewise holds
+replies until the log acknowledges them ("Amazon MemoryDB: A Fast and Durable
+Memory-First Cloud Database", section 3.2).
 """
 
 from __future__ import annotations
@@ -18,29 +18,37 @@
 
 __all__ = ["Appender"]
 
-GATHER_TIME = 0.005
-FIRST_PAUSE = 0.05
-LONGEST_PAUSE = 1.0
-MAX_WAITING = 20_000
+# Seconds to collect records before an append. A smaller value makes more appends, a
+# larger one delays every record.
+BATCH_DELAY = 0.005
+# Bounds in seconds of the pause after a failed append; it doubles with each failure.
+# Smaller values load a failing platform, larger ones delay recovery.
+MIN_BACKOFF = 0.05
+MAX_BACKOFF = 1.0
+# Most pending records. Without a bound, memory would grow while the log is down; a
+# smaller one refuses records during a short outage.
+MAX_PENDING = 20_000
+# Most records in one append, so that an append stays small; a smaller value needs more
+# appends for the same records.
 MAX_BATCH_RECORDS = 256
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _PendingRecord:
     record: Record
     fut: asyncio.Future[int]
-    until: float
+    deadline: float
 
 
 class Appender:
-    """Appends the records of one daemon to one stream, in order.
+    """Batch appender of one daemon's records to one stream, in order.
 
-    An append whose answer is lost is repeated: records have no further effect
-    when they stand in the log twice.
+    An append whose reply is lost is repeated, since a record that is in the log twice
+    has no further effect.
 
     Parameters
     ----------
-    appended : callable
+    on_append : callable
         Called with the offset after each confirmed append.
     """
 
@@ -50,26 +58,26 @@
         stream: str,
         writer: str,
         rng: random.Random,
-        appended: Callable[[int], None] = lambda offset: None,
+        on_append: Callable[[int], None] = lambda offset: None,
     ) -> None:
         self.platform = platform
         self.stream = stream
         self.writer = writer
         self.rng = rng
-        self.appended = appended
+        self.on_append = on_append
         self.appends = 0
         self.failures = 0
-        self._waiting: list[_Waiting] = []
+        self._pending: list[_PendingRecord] = []
         self._wake = asyncio.Event()
 
-    def put(self, record: Record, within: float) -> asyncio.Future[int]:
-        """Append a record.
+    def put(self, record: Record, timeout: float) -> asyncio.Future[int]:
+        """Queue a record for the next append.
 
         Parameters
         ----------
-        within : float
+        timeout : float
             Seconds after which the future fails with ``PlatformError``; the
-            record may then nevertheless be in the log.
+            record may be in the log nevertheless.
 
         Returns
         -------
@@ -78,37 +86,37 @@
         """
         loop = asyncio.get_running_loop()
         fut: asyncio.Future[int] = loop.create_future()
-        fut.add_done_callback(_retrieve)
-        if len(self._waiting) >= MAX_WAITING:
-            fut.set_exception(PlatformError("too many records wait", step="append"))
+        fut.add_done_callback(_mark_retrieved)
+        if len(self._pending) >= MAX_PENDING:
+            fut.set_exception(PlatformError("too many pending records", step="append"))
             return fut
-        self._waiting.append(_Waiting(record, fut, loop.time() + within))
+        self._pending.append(_PendingRecord(record, fut, loop.time() + timeout))
         self._wake.set()
         return fut
 
-    async def flushed(self) -> None:
-        """Wait until nothing waits to be appended."""
-        while self._waiting:
-            futures = [entry.fut for entry in self._waiting]
+    async def wait_flushed(self) -> None:
+        """Wait until no record is pending."""
+        while self._pending:
+            futures = [entry.fut for entry in self._pending]
             await asyncio.wait(futures)
 
     async def run(self) -> None:
-        """Append what waits until cancelled."""
-        pause = FIRST_PAUSE
+        """Append pending records until cancelled."""
+        backoff = MIN_BACKOFF
         while True:
             await self._wake.wait()
-            await asyncio.sleep(GATHER_TIME)
+            await asyncio.sleep(BATCH_DELAY)
             if await self._flush():
-                pause = FIRST_PAUSE
+                backoff = MIN_BACKOFF
                 continue
-            await asyncio.sleep(self.rng.uniform(pause / 2, pause))
-            pause = min(pause * 2, LONGEST_PAUSE)
+            await asyncio.sleep(self.rng.uniform(backoff / 2, backoff))
+            backoff = min(backoff * 2, MAX_BACKOFF)
 
     async def _flush(self) -> bool:
         """Append one batch; return whether the platform answered."""
         now = asyncio.get_running_loop().time()
         self._expire(now)
-        batch = self._waiting[: min(MAX_BATCH_RECORDS, MAX_BATCH)]
+        batch = self._pending[: min(MAX_BATCH_RECORDS, MAX_BATCH)]
         if not batch:
             self._wake.clear()
             return True
@@ -120,25 +128,25 @@
             self._expire(asyncio.get_running_loop().time())
             return False
         self.appends += 1
-        del self._waiting[: len(batch)]
+        del self._pending[: len(batch)]
         for entry in batch:
             if not entry.fut.done():
                 entry.fut.set_result(offset)
-        self.appended(offset)
+        self.on_append(offset)
         return True
 
     def _expire(self, now: float) -> None:
-        late = [entry for entry in self._waiting if entry.until <= now]
-        if not late:
+        expired = [entry for entry in self._pending if entry.deadline <= now]
+        if not expired:
             return
-        self._waiting = [entry for entry in self._waiting if entry.until > now]
-        for entry in late:
+        self._pending = [entry for entry in self._pending if entry.deadline > now]
+        for entry in expired:
             if not entry.fut.done():
                 exc = PlatformError("append not confirmed in time", step="append")
                 entry.fut.set_exception(exc)
 
 
-def _retrieve(fut: asyncio.Future[int]) -> None:
-    """Mark a failure as seen, for callers that do not wait."""
+def _mark_retrieved(fut: asyncio.Future[int]) -> None:
+    """Retrieve the exception, so that asyncio does not log a future nobody awaits."""
     if not fut.cancelled():
         fut.exception()
--- a/siskinroad/beats.py
+++ b/siskinroad/beats.py
@@ -1,4 +1,8 @@
-"""What a daemon tells others on its own: heartbeats, digests, the live list."""
+"""Periodic messages between daemons: heartbeats, digests and the host list.
+
+The daemon that reads the log for its data centre, the reader, also sends the platform's
+host list to the daemons of its data centre, and a digest to the other data centres.
+"""
 
 from __future__ import annotations
 
@@ -22,67 +26,88 @@
 
 __all__ = ["Beats"]
 
-LIST_TIME = 1.5
-ADMITS_BEATS = 4
-DIGEST_TIME = 10.0
-DIGEST_CHECK = 0.5
-WANT_TIME = 1.0
-STAMPS = 1 << 20
+# Seconds between two reads of the platform's host list. A larger value delays the
+# reaction to hosts that come or go; a smaller one loads the platform.
+LIST_INTERVAL = 1.5
+# Heartbeats after which an unchanged list of admitted daemons is sent again. A larger
+# value leaves a peer that missed it without the list for longer.
+ADMITS_INTERVAL = 4
+# Seconds after which an unchanged digest is sent again. A smaller value costs traffic
+# between data centres; a larger one leaves them with old loads for longer.
+DIGEST_INTERVAL = 10.0
+# Seconds between two checks for a change that the next digest must carry.
+DIGEST_CHECK_INTERVAL = 0.5
+# Least seconds between two requests for the revision in force; without it each
+# heartbeat of a newer peer would cause a request.
+REQUEST_INTERVAL = 1.0
+# Digest stamps reserved for each incarnation, so that stamps rise across restarts.
+# If an incarnation used more, receivers would drop the first digests of the next one.
+STAMPS_PER_INCARNATION = 1 << 20
 
 log = logging.getLogger("siskinroad.beats")
 
 
 class Beats:
-    """The periodic messages of one daemon and the answers to them."""
+    """Sender and receiver of one daemon's periodic messages.
+
+    Attributes
+    ----------
+    sent_abroad : int
+        Bytes of the digests sent to other data centres.
+    """
 
     def __init__(self, daemon: DaemonView) -> None:
         self.daemon = daemon
         cfg = daemon.cfg
-        self._near = [p.name for p in cfg.peers if p.data_centre == cfg.data_centre]
-        self._centres: dict[str, list[str]] = {}
+        self._local_peers = [
+            p.name for p in cfg.peers if p.data_centre == cfg.data_centre
+        ]
+        self._remote_peers: dict[str, list[str]] = {}
         for peer in cfg.peers:
             if peer.data_centre != cfg.data_centre:
-                self._centres.setdefault(peer.data_centre, []).append(peer.name)
-        self._turn = 0
-        self._list = ListNews("", [])
-        self._list_sent: dict[str, tuple[int, str]] = {}
-        self._digests: dict[str, Digest] = {}
+                self._remote_peers.setdefault(peer.data_centre, []).append(peer.name)
+        self._sequence = 0
+        self._host_list = ListNews("", [])
+        self._host_list_sent: dict[str, tuple[int, str]] = {}
+        self._latest_digests: dict[str, Digest] = {}
         self.sent_abroad = 0
-        self._beats = 0
-        self._admits: list[str] = []
-        self._asked = float("-inf")
+        self._heartbeats_sent = 0
+        self._last_admits: list[str] = []
+        self._revision_requested_at = float("-inf")
 
     # Heartbeats
 
     async def run(self) -> None:
         """Send heartbeats until cancelled."""
         while True:
-            self.send_now()
+            self.send_heartbeats()
             daemon = self.daemon
             if daemon.configuration.revision == 0:
-                self.want_revision()
+                self.request_revision()
             await asyncio.sleep(HEARTBEAT_TIME)
 
-    def send_now(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send a heartbeat to each daemon of the data centre."""
         daemon = self.daemon
         now = asyncio.get_running_loop().time()
         contests = daemon.ownership.contests()
-        admits = self._admits_if_due()
-        for name in self._near:
+        admits = self._due_admits()
+        for name in self._local_peers:
             member = daemon.members.members.get(name)
             echo = Echo(member.stamp, contests) if member is not None else None
-            daemon.peers.send(name, self._heartbeat(now, echo, admits))
+            daemon.peers.send(name, self._make_heartbeat(now, echo, admits))
 
-    def _admits_if_due(self) -> list[str] | None:
-        """Return the admitted daemons when they have changed or were long unsaid."""
+    def _due_admits(self) -> list[str] | None:
+        """Return the admitted daemons if the next heartbeat must carry them."""
         admits = self.daemon.ownership.admits()
-        self._beats += 1
-        due = self._beats % ADMITS_BEATS == 0 or admits != self._admits
-        self._admits = admits
+        self._heartbeats_sent += 1
+        due = (
+            self._heartbeats_sent % ADMITS_INTERVAL == 0 or admits != self._last_admits
+        )
+        self._last_admits = admits
         return admits if due else None
 
-    def _heartbeat(
+    def _make_heartbeat(
         self, now: float, echo: Echo | None, admits: list[str] | None
     ) -> Heartbeat:
         daemon = self.daemon
@@ -98,113 +123,127 @@
             daemon.shards.news(),
         )
 
-    def hear(self, msg: Heartbeat, now: float) -> None:
-        """Take a peer's heartbeat."""
+    def handle_heartbeat(self, msg: Heartbeat, now: float) -> None:
+        """Process a heartbeat of a daemon of this data centre."""
         daemon = self.daemon
-        if msg.name not in self._near:
+        if msg.name not in self._local_peers:
             return
-        fresh = daemon.members.hear(msg, now)
-        if fresh:
-            log.info("beats: %s is up, incarnation %d", msg.name, msg.incarnation)
-            self._brief(msg.name, now)
-        behind = msg.revision > daemon.configuration.revision
-        if behind and not daemon.feed.reachable(now):
-            self.want_revision(msg.name)
-
-    def _brief(self, name: str, now: float) -> None:
-        """Pass on what other data centres have said, to a daemon just started."""
+        is_new = daemon.members.hear(msg, now)
+        if is_new:
+            log.info(
+                "beats: peer %s started, incarnation %d", msg.name, msg.incarnation
+            )
+            self._forward_digests(msg.name, now)
+        is_behind = msg.revision > daemon.configuration.revision
+        if is_behind and not daemon.feed.is_reachable(now):
+            self.request_revision(msg.name)
+
+    def _forward_digests(self, name: str, now: float) -> None:
+        """Send the latest digest of each other data centre to a daemon just started.
+
+        Only the live daemon with the lowest name sends them, so that they arrive once.
+        """
         daemon = self.daemon
         others = [m.name for m in daemon.members.alive(now) if m.name != name]
         if daemon.cfg.name != min([*others, daemon.cfg.name]):
             return
-        for digest in self._digests.values():
+        for digest in self._latest_digests.values():
             daemon.peers.send(name, digest)
 
-    # The configuration from peers
+    # Configuration from peers
+
+    def request_revision(self, name: str = "") -> None:
+        """Request the revision in force from a peer.
 
-    def want_revision(self, name: str = "") -> None:
-        """Ask a peer for the revision in force."""
+        Parameters
+        ----------
+        name : str
+            The peer; empty to take the peers in turn.
+        """
         daemon = self.daemon
         now = asyncio.get_running_loop().time()
         names = [name] if name else [peer.name for peer in daemon.cfg.peers]
-        if not names or now - self._asked < WANT_TIME:
+        if not names or now - self._revision_requested_at < REQUEST_INTERVAL:
             return
-        self._asked = now
-        self._turn += 1
-        peer = names[self._turn % len(names)]
+        self._revision_requested_at = now
+        self._sequence += 1
+        peer = names[self._sequence % len(names)]
         known = daemon.configuration.revision
         daemon.peers.send(peer, RevisionWanted(daemon.cfg.name, known))
 
     def want_snapshot(self) -> None:
-        """Ask the data centre's daemons for a snapshot of its stream."""
-        for name in self._near:
+        """Request a snapshot of the data centre's stream from its other daemons."""
+        for name in self._local_peers:
             self.daemon.peers.send(name, SnapshotWanted(self.daemon.cfg.name))
 
-    def hear_wanted(self, msg: RevisionWanted) -> None:
-        """Send the revision in force to a peer that has an older one."""
+    def handle_revision_request(self, msg: RevisionWanted) -> None:
+        """Send the revision in force to a requesting peer that has an older one."""
         config = self.daemon.configuration
         if config.revision > msg.known:
             self.daemon.peers.send(msg.name, RevisionOffer(config.whole()))
 
-    # The platform's list
+    # Host list of the platform
 
-    async def run_list(self) -> None:
-        """Read the live list while this daemon reads the log."""
+    async def run_host_list(self) -> None:
+        """Read the platform's host list while this daemon reads the log.
+
+        The reader of the data centre also sends it to the other daemons.
+        """
         daemon = self.daemon
         loop = asyncio.get_running_loop()
         while True:
-            if daemon.feed.reading(loop.time()):
-                await self._read_list()
-                self._share_list(loop.time())
-            await asyncio.sleep(LIST_TIME)
+            if daemon.feed.is_reading(loop.time()):
+                await self._read_host_list()
+                self._send_host_list(loop.time())
+            await asyncio.sleep(LIST_INTERVAL)
 
-    async def _read_list(self) -> None:
+    async def _read_host_list(self) -> None:
         daemon = self.daemon
         try:
-            answer = await daemon.platform.hosts(
-                daemon.cfg.data_centre, self._list.version
+            reply = await daemon.platform.hosts(
+                daemon.cfg.data_centre, self._host_list.version
             )
         except PlatformError:
             return
-        if answer.hosts is not None:
-            self._take_list(ListNews(answer.version, answer.hosts))
+        if reply.hosts is not None:
+            self._apply_host_list(ListNews(reply.version, reply.hosts))
 
-    def _share_list(self, now: float) -> None:
+    def _send_host_list(self, now: float) -> None:
         daemon = self.daemon
-        if daemon.members.reader(now) != daemon.cfg.name or not self._list.version:
+        if daemon.members.reader(now) != daemon.cfg.name or not self._host_list.version:
             return
         for member in daemon.members.alive(now):
-            mark = (member.incarnation, self._list.version)
-            if self._list_sent.get(member.name) != mark:
-                self._list_sent[member.name] = mark
-                daemon.peers.send(member.name, self._list)
+            sent_version = (member.incarnation, self._host_list.version)
+            if self._host_list_sent.get(member.name) != sent_version:
+                self._host_list_sent[member.name] = sent_version
+                daemon.peers.send(member.name, self._host_list)
 
-    def hear_list(self, msg: ListNews) -> None:
-        """Take the list that the data centre's reader has sent."""
-        self._take_list(msg)
+    def handle_host_list(self, msg: ListNews) -> None:
+        """Apply a host list that the data centre's reader has sent."""
+        self._apply_host_list(msg)
 
-    def _take_list(self, msg: ListNews) -> None:
-        self._list = msg
+    def _apply_host_list(self, msg: ListNews) -> None:
+        self._host_list = msg
         hosts: list[ListedHost] = msg.hosts
         self.daemon.shards.set_listed({host.name: host.state for host in hosts})
 
     # Digests
 
     async def run_digests(self) -> None:
-        """Tell the other data centres of this one while reading the log for it.
+        """Send digests to the other data centres while this daemon is the reader.
 
-        A change of an owner or of the revision is told at once.
+        A change of an owner or of the revision is sent at the next check.
         """
         loop = asyncio.get_running_loop()
         last: tuple[int, dict[str, tuple[str, int]]] = (0, {})
         sent = float("-inf")
         while True:
-            await asyncio.sleep(DIGEST_CHECK)
+            await asyncio.sleep(DIGEST_CHECK_INTERVAL)
             now = loop.time()
             if self.daemon.members.reader(now) != self.daemon.cfg.name:
                 continue
-            msg = self._digest(now)
-            if (msg.revision, msg.owners) == last and now - sent < DIGEST_TIME:
+            msg = self._make_digest(now)
+            if (msg.revision, msg.owners) == last and now - sent < DIGEST_INTERVAL:
                 continue
             last, sent = (msg.revision, msg.owners), now
             self._send_digest(msg)
@@ -212,13 +251,13 @@
     def _send_digest(self, msg: Digest) -> None:
         daemon = self.daemon
         size = len(encode(msg))
-        for names in self._centres.values():
-            daemon.peers.send(names[self._turn % len(names)], msg)
+        for names in self._remote_peers.values():
+            daemon.peers.send(names[self._sequence % len(names)], msg)
             self.sent_abroad += size
 
-    def _digest(self, now: float) -> Digest:
+    def _make_digest(self, now: float) -> Digest:
         daemon = self.daemon
-        self._turn += 1
+        self._sequence += 1
         members = daemon.members.alive(now)
         owners = {
             news.shard: (member.name, member.incarnation)
@@ -235,18 +274,18 @@
             daemon.cfg.data_centre,
             daemon.cfg.region,
             min([daemon.configuration.revision, *revisions]),
-            daemon.incarnation * STAMPS + self._turn,
+            daemon.incarnation * STAMPS_PER_INCARNATION + self._sequence,
             owners,
             list(shards.values()),
             True,
         )
 
-    def hear_digest(self, msg: Digest, now: float) -> None:
-        """Take another data centre's news and pass it on."""
+    def handle_digest(self, msg: Digest, now: float) -> None:
+        """Apply another data centre's digest and relay it within this one."""
         daemon = self.daemon
         if not daemon.load_table.hear_digest(msg, now):
             return
-        passed = Digest(
+        relayed = Digest(
             msg.name,
             msg.data_centre,
             msg.region,
@@ -256,8 +295,8 @@
             msg.shards,
             False,
         )
-        self._digests[msg.data_centre] = passed
+        self._latest_digests[msg.data_centre] = relayed
         if not msg.relay:
             return
         for member in daemon.members.alive(now):
-            daemon.peers.send(member.name, passed)
+            daemon.peers.send(member.name, relayed)
--- a/siskinroad/entry.py
+++ b/siskinroad/entry.py
@@ -1,4 +1,4 @@
-"""The daemon on an entry host: every part wired together."""
+"""The daemon of an entry host, assembled from its components."""
 
 from __future__ import annotations
 
@@ -56,25 +56,32 @@
 
 __all__ = ["Daemon"]
 
-OWNERSHIP_TICK = 0.2
-APPLIED_TIME = 3.0
-DRAIN_POLL = 0.05
+# Seconds between two steps of shard ownership. A larger value delays claims, takeovers
+# and releases.
+OWNERSHIP_INTERVAL = 0.2
+# Seconds to wait until this daemon has read an appended record back; also for pending
+# releases at the end of a drain. A smaller value reports confirmed appends as failed.
+APPLY_TIMEOUT = 3.0
+# Seconds between two checks whether a drain has finished.
+DRAIN_POLL_INTERVAL = 0.05
+# Seconds for which a drained daemon still refuses work of peers that do not know of the
+# drain. Without it they wait for a daemon that has gone.
 LINGER_TIME = 1.2
 
 log = logging.getLogger("siskinroad.entry")
 
 
 class Daemon:
-    """One daemon, without its listeners.
+    """Daemon of an entry host, without its HTTP listeners.
 
     Parameters
     ----------
     cfg : Settings
-        Its settings.
+        The daemon's settings.
     incarnation : int
-        Higher at each start of the same daemon.
+        A number that rises with each start of the same daemon.
     platform, upstreams, peers : Platform, Upstreams, Peers
-        The outside.
+        Clients of the platform, of upstream hosts and of other daemons.
     rng : random.Random
         Seeded source of jitter.
     """
@@ -98,13 +105,13 @@
         self.metrics = Metrics()
         self.bytes = ByteLimit(cfg.max_waiting_bytes)
         self.state = load_chart("daemon").initial
-        self._build_agreement()
-        self._build_work()
+        self._build_coordination()
+        self._build_request_path()
         self.peers.receiver = self._receive
         self._tasks: list[asyncio.Task[None]] = []
         self._applied = asyncio.Condition()
 
-    def _build_agreement(self) -> None:
+    def _build_coordination(self) -> None:
         cfg, rng = self.cfg, self.rng
         send = self.peers.send
         stream = dc_stream(cfg.data_centre)
@@ -115,7 +122,7 @@
             cfg.name, self.incarnation, self.ledger, self.members
         )
         self.feed = LogFeed(
-            cfg.name, self.platform, self.members, send, self._confirmed, rng
+            cfg.name, self.platform, self.members, send, self._log_confirmed, rng
         )
         self.feed.follow(
             Stream(
@@ -134,14 +141,14 @@
             )
         )
         self.appender = Appender(
-            self.platform, stream, cfg.name, rng, lambda _: self.feed.nudge()
+            self.platform, stream, cfg.name, rng, lambda _: self.feed.wake()
         )
         self.cell_appender = Appender(
-            self.platform, CELL_STREAM, cfg.name, rng, lambda _: self.feed.nudge()
+            self.platform, CELL_STREAM, cfg.name, rng, lambda _: self.feed.wake()
         )
         self.snapshotter = Snapshotter(self)
 
-    def _build_work(self) -> None:
+    def _build_request_path(self) -> None:
         cfg, rng = self.cfg, self.rng
         send = self.peers.send
         put = self.appender.put
@@ -191,91 +198,97 @@
         )
         self.beats = Beats(self)
 
-    # Life
+    # Start and stop
 
     def start(self) -> None:
-        """Start every loop of the daemon."""
+        """Start the background loops of the daemon."""
         for coro in (
             self.appender.run(),
             self.cell_appender.run(),
             self.feed.run(),
             self.beats.run(),
-            self.beats.run_list(),
+            self.beats.run_host_list(),
             self.beats.run_digests(),
             self.snapshotter.run(),
             self._run_ownership(),
         ):
-            self._tasks.append(asyncio.get_running_loop().create_task(_guarded(coro)))
+            self._tasks.append(
+                asyncio.get_running_loop().create_task(_run_logged(coro))
+            )
 
     async def _run_ownership(self) -> None:
         while True:
             self.shards.tick()
-            await asyncio.sleep(OWNERSHIP_TICK)
+            await asyncio.sleep(OWNERSHIP_INTERVAL)
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether callers may send requests to this daemon."""
         return self.state == "ready"
 
     async def drain(self) -> bool:
-        """Hand everything over and finish what is in progress.
+        """Release all shards and finish the requests in progress.
 
         Returns
         -------
         bool
-            False if the time allowed for it ran out.
+            False if this took longer than the setting ``drain_s``.
         """
         loop = asyncio.get_running_loop()
-        until = loop.time() + self.cfg.drain_s
+        deadline = loop.time() + self.cfg.drain_s
         self.state = load_chart("daemon").next(self.state, "stop")
         self.ownership.draining = True
         self.members.draining = True
-        self.beats.send_now()
-        log.info("entry: draining")
-        while loop.time() < until:
-            held = any(h.state != "idle" for h in self.ownership.holdings.values())
-            work = self.front.in_progress or self.shards.busy or self.receiver.active
-            if not held and not work and not self.shards.owners:
+        self.beats.send_heartbeats()
+        log.info("entry: drain started")
+        while loop.time() < deadline:
+            holds_shards = any(
+                h.state != "idle" for h in self.ownership.holdings.values()
+            )
+            has_work = (
+                self.front.in_progress or self.shards.busy or self.receiver.active
+            )
+            if not holds_shards and not has_work and not self.shards.owners:
                 break
-            await asyncio.sleep(DRAIN_POLL)
-        done = loop.time() < until
-        if done:
+            await asyncio.sleep(DRAIN_POLL_INTERVAL)
+        is_done = loop.time() < deadline
+        if is_done:
             await self._flush()
-            # Peers that have not heard yet still send work here; it is refused
-            # as not run, so that they turn to the next owner.
+            # Peers that do not know of the drain yet still send work here. It is
+            # refused as not run, so that they send it to the next owner.
             await asyncio.sleep(LINGER_TIME)
         self.state = load_chart("daemon").next(
-            self.state, "idle" if done else "timeout"
+            self.state, "idle" if is_done else "timeout"
         )
-        log.info("entry: drained" if done else "entry: drain timed out")
-        return done
+        log.info("entry: drain finished" if is_done else "entry: drain timed out")
+        return is_done
 
     async def _flush(self) -> None:
-        """Wait until the releases are on record, or the log seems down."""
+        """Wait until the releases are stored, at most ``APPLY_TIMEOUT`` seconds."""
         try:
-            async with asyncio.timeout(APPLIED_TIME):
-                await self.appender.flushed()
+            async with asyncio.timeout(APPLY_TIMEOUT):
+                await self.appender.wait_flushed()
         except TimeoutError:
-            log.warning("entry: releases are not on record")
+            log.warning("entry: releases of shards not confirmed by the log in time")
 
     async def close(self) -> None:
-        """Stop at once, as a crash would."""
+        """Stop at once without releasing shards, as a crash would."""
         self.shards.close()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.peers.close()
 
-    # The log
+    # Records of the log
 
     def _apply_cell(self, offset: int, records: list[Record]) -> None:
         if self.configuration.apply(offset, records):
             self.put_in_force()
-        self._note_applied()
+        self._schedule_notify()
 
     def _skip_cell(self, first: int) -> None:
         self.configuration.next_offset = first
-        self.beats.want_revision()
+        self.beats.request_revision()
 
     def _apply_ledger(self, offset: int, records: list[Record]) -> None:
         was_whole = self.ledger.whole
@@ -283,10 +296,10 @@
         if self.ledger.whole and not was_whole:
             self.shards.hear_snapshot()
         self.shards.hear_records(records)
-        self._note_applied()
+        self._schedule_notify()
 
     def put_in_force(self) -> None:
-        """Put the configuration's cell in force in every part."""
+        """Apply the configuration's cell file to all components."""
         cell = self.configuration.cell
         assert cell is not None
         self.shards.configure(cell)
@@ -295,28 +308,28 @@
             self.state = load_chart("daemon").next(self.state, "configured")
         log.info("entry: revision %d is in force", self.configuration.revision)
 
-    def _note_applied(self) -> None:
-        asyncio.get_running_loop().create_task(self._notify())
+    def _schedule_notify(self) -> None:
+        asyncio.get_running_loop().create_task(self._notify_applied())
 
-    async def _notify(self) -> None:
+    async def _notify_applied(self) -> None:
         async with self._applied:
             self._applied.notify_all()
 
     async def _ledger_applied(self, offset: int) -> None:
-        await self._until(lambda: self.ledger.next_offset > offset)
+        await self._wait_until(lambda: self.ledger.next_offset > offset)
 
     async def _cell_applied(self, offset: int) -> None:
-        await self._until(lambda: self.configuration.next_offset > offset)
+        await self._wait_until(lambda: self.configuration.next_offset > offset)
 
-    async def _until(self, reached: Any) -> None:
-        async with asyncio.timeout(APPLIED_TIME), self._applied:
-            await self._applied.wait_for(reached)
+    async def _wait_until(self, predicate: Any) -> None:
+        async with asyncio.timeout(APPLY_TIMEOUT), self._applied:
+            await self._applied.wait_for(predicate)
 
-    def _confirmed(self, stream: str, stamp: float) -> None:
+    def _log_confirmed(self, stream: str, stamp: float) -> None:
         if stream == dc_stream(self.cfg.data_centre):
             self.ownership.log_confirmed(stamp)
 
-    # Work
+    # Requests
 
     def cell(self) -> Cell:
         """Return the cell in force.
@@ -324,7 +337,7 @@
         Raises
         ------
         Refusal
-            ``NO_CONFIGURATION`` while there is none.
+            ``NO_CONFIGURATION`` if neither the log nor a peer has given one.
         """
         cell = self.configuration.cell
         if cell is None:
@@ -335,7 +348,7 @@
         return cell
 
     def loads(self) -> list[ShardLoad]:
-        """Return every shard that is known, with its owner."""
+        """Return the load and owner of every known shard, in all data centres."""
         now = asyncio.get_running_loop().time()
         loads = self.load_table.near(now)
         for load in self.shards.loads():
@@ -356,13 +369,13 @@
         now = asyncio.get_running_loop().time()
         match msg:
             case Heartbeat():
-                self.beats.hear(msg, now)
+                self.beats.handle_heartbeat(msg, now)
             case LogTail():
-                self.feed.hear_tail(msg, now)
+                self.feed.handle_tail(msg, now)
             case LogRecords():
-                self.feed.hear_records(msg)
+                self.feed.handle_records(msg)
             case LogFetch():
-                self.feed.hear_fetch(msg)
+                self.feed.handle_fetch(msg)
             case Forward():
                 self.receiver.hear(msg)
             case ForwardAsk():
@@ -376,30 +389,30 @@
             case JobReply():
                 self.jobs.hear_reply(msg)
             case Digest():
-                self.beats.hear_digest(msg, now)
+                self.beats.handle_digest(msg, now)
             case ListNews():
-                self.beats.hear_list(msg)
+                self.beats.handle_host_list(msg)
             case SnapshotWanted():
-                self.snapshotter.wanted()
+                self.snapshotter.write_on_request()
             case RevisionWanted():
-                self.beats.hear_wanted(msg)
+                self.beats.handle_revision_request(msg)
             case RevisionOffer():
-                self._hear_offer(msg)
+                self._handle_offer(msg)
 
-    def _hear_offer(self, msg: RevisionOffer) -> None:
+    def _handle_offer(self, msg: RevisionOffer) -> None:
         try:
             if self.configuration.adopt(msg.whole):
                 self.put_in_force()
         except ConfigError as exc:
-            log.error("entry: a peer's revision is not valid: %s", exc)
+            log.error("entry: peer offered an invalid revision: %s", exc)
 
 
-async def _guarded(coro: Coroutine[Any, Any, None]) -> None:
-    """Log what ends a loop that should not end."""
+async def _run_logged(coro: Coroutine[Any, Any, None]) -> None:
+    """Run a background loop and log the exception that ends it, if any."""
     try:
         await coro
     except asyncio.CancelledError:
         raise
     except Exception:
-        log.exception("entry: a loop has failed")
+        log.exception("entry: background loop failed")
         raise
--- a/siskinroad/publisher.py
+++ b/siskinroad/publisher.py
@@ -1,4 +1,7 @@
-"""Applying a cell file: one winner at each revision, and where it is in force."""
+"""Publication of cell files through the platform's log.
+
+Of several files appended as the same revision, the first one in the log wins.
+"""
 
 from __future__ import annotations
 
@@ -17,13 +20,29 @@
 
 __all__ = ["Applied", "Publisher"]
 
-APPEND_TIME = 8.0
-IN_FORCE_TIME = 10.0
-POLL_TIME = 0.1
+# Seconds to wait until the log confirms the append. After that the operator is told
+# that the outcome is unknown, so a smaller value reports this for slow appends.
+APPEND_TIMEOUT = 8.0
+# Seconds to wait until every daemon and data centre runs the revision. Those that lag
+# are returned in ``not_yet``; a larger value delays the reply while one is unreachable.
+IN_FORCE_TIMEOUT = 10.0
+# Seconds between two checks of the revisions that others run.
+POLL_INTERVAL = 0.1
 
 
 class Applied(msgspec.Struct, frozen=True):
-    """What became of an applied file."""
+    """Result of applying a cell file.
+
+    Attributes
+    ----------
+    revision : int
+        The revision that carries the file.
+    changed : bool
+        False if the file was in force before.
+    in_force, not_yet : list of str
+        Daemons of this data centre and names of other data centres that run the
+        revision, and those that do not yet.
+    """
 
     revision: int
     changed: bool
@@ -32,7 +51,19 @@
 
 
 class Publisher:
-    """Puts cell files in force through the platform's log."""
+    """Publisher of cell files for one daemon.
+
+    Parameters
+    ----------
+    name : str
+        This daemon.
+    append : callable
+        Appends a record to the cell's stream within a number of seconds; returns a
+        future of its offset.
+    wait_applied : callable
+        Waits until this daemon has applied the record at an offset; raises
+        ``TimeoutError``.
+    """
 
     def __init__(
         self,
@@ -40,72 +71,83 @@
         configuration: Configuration,
         members: Membership,
         loads: LoadTable,
-        put: Callable[[Record, float], asyncio.Future[int]],
-        applied: Callable[[int], Awaitable[None]],
+        append: Callable[[Record, float], asyncio.Future[int]],
+        wait_applied: Callable[[int], Awaitable[None]],
     ) -> None:
         self.name = name
         self.configuration = configuration
         self.members = members
         self.loads = loads
-        self.put = put
-        self.applied = applied
+        self.append = append
+        self.wait_applied = wait_applied
 
     async def apply(self, text: str, expect: int | None, wait: bool = True) -> Applied:
-        """Put a file in force; doing so again after a lost answer is harmless.
+        """Put a cell file in force.
+
+        The call is idempotent: it may be repeated if its reply was lost.
 
         Parameters
         ----------
         expect : int or None
-            The revision that the file is meant to replace.
+            The revision that the file is meant to replace; None for any.
+        wait : bool
+            Whether to wait until the revision is in force everywhere, for at most
+            ``IN_FORCE_TIMEOUT`` seconds.
 
         Raises
         ------
         ConfigError
-            If the file is not valid; nothing has changed.
+            If the file is not valid; nothing is changed.
         ConflictError
-            If another file has won.
+            If the expected revision is not in force, or another file won.
         PlatformError
-            If it is not known whether the file is in force.
+            If it is unknown whether the file is in force.
         """
         cell = parse_cell(text)
         config = self.configuration
-        key = _key(text, expect)
+        key = _request_key(text, expect)
         if digest(text) == digest(config.text) or config.was_applied(key):
-            return await self._in_force(config.revision, False, wait)
+            return await self._await_in_force(config.revision, False, wait)
         if expect is not None and expect != config.revision:
-            raise _conflict(config.revision)
+            raise _conflict_error(config.revision)
         config.check_moves(cell)
         base = config.revision
-        offset = await self.put(config.successor(text, key), APPEND_TIME)
+        offset = await self.append(config.successor(text, key), APPEND_TIMEOUT)
         try:
-            await self.applied(offset)
+            await self.wait_applied(offset)
         except TimeoutError:
-            raise PlatformError("appended, not read back yet", step="apply") from None
+            raise PlatformError(
+                "appended, but not read back in time", step="apply"
+            ) from None
         if not config.was_applied(key):
-            raise _conflict(config.revision)
-        return await self._in_force(base + 1, True, wait)
+            raise _conflict_error(config.revision)
+        return await self._await_in_force(base + 1, True, wait)
 
-    async def _in_force(self, revision: int, changed: bool, wait: bool) -> Applied:
+    async def _await_in_force(
+        self, revision: int, changed: bool, wait: bool
+    ) -> Applied:
         loop = asyncio.get_running_loop()
-        until = loop.time() + (IN_FORCE_TIME if wait else 0.0)
+        deadline = loop.time() + (IN_FORCE_TIMEOUT if wait else 0.0)
         while True:
-            good, late = self._where(revision, loop.time())
-            if not late or loop.time() >= until:
-                return Applied(revision, changed, sorted(good), sorted(late))
-            await asyncio.sleep(POLL_TIME)
-
-    def _where(self, revision: int, now: float) -> tuple[list[str], list[str]]:
-        seen = {m.name: m.revision for m in self.members.alive(now)}
-        seen[self.name] = self.configuration.revision
-        seen.update(self.loads.revisions)
-        good = [name for name, known in seen.items() if known >= revision]
-        return good, [name for name, known in seen.items() if known < revision]
-
-
-def _key(text: str, expect: int | None) -> str:
+            current, behind = self._split_by_revision(revision, loop.time())
+            if not behind or loop.time() >= deadline:
+                return Applied(revision, changed, sorted(current), sorted(behind))
+            await asyncio.sleep(POLL_INTERVAL)
+
+    def _split_by_revision(
+        self, revision: int, now: float
+    ) -> tuple[list[str], list[str]]:
+        revisions = {m.name: m.revision for m in self.members.alive(now)}
+        revisions[self.name] = self.configuration.revision
+        revisions.update(self.loads.revisions)
+        current = [name for name, known in revisions.items() if known >= revision]
+        return current, [name for name, known in revisions.items() if known < revision]
+
+
+def _request_key(text: str, expect: int | None) -> str:
     return hashlib.sha256(f"{expect}\0{text}".encode()).hexdigest()[:20]
 
 
-def _conflict(revision: int) -> ConflictError:
+def _conflict_error(revision: int) -> ConflictError:
     text = f"revision {revision} is in force; compare with it and apply again"
     return ConflictError(text, step="apply")
--- a/siskinroad/snapshotter.py
+++ b/siskinroad/snapshotter.py
@@ -1,4 +1,8 @@
-"""Re-appends the state of the streams well inside the retention time."""
+"""Periodic snapshots of the streams' state, appended to the streams themselves.
+
+The platform trims old records. A snapshot within the retention time lets a daemon
+restore the state from the records that are left.
+"""
 
 from __future__ import annotations
 
@@ -10,60 +14,68 @@
 from siskinroad.errors import PlatformError
 from siskinroad.snapshots import split
 
-__all__ = ["SNAPSHOT_RECORDS", "SNAPSHOT_TIME", "Snapshotter"]
-
-CHECK_TIME = 5.0
-SNAPSHOT_TIME = 600.0
-SNAPSHOT_RECORDS = 2000
-APPEND_TIME = 30.0
-WANTED_PAUSE = 10.0
+__all__ = ["SNAPSHOT_MAX_AGE", "SNAPSHOT_MAX_APPENDS", "Snapshotter"]
+
+# Seconds between two checks whether a snapshot is due.
+CHECK_INTERVAL = 5.0
+# Seconds, and appends to the stream, after which a new snapshot is due. With larger
+# values records may be trimmed before a snapshot covers them; smaller ones cost more
+# appends.
+SNAPSHOT_MAX_AGE = 600.0
+SNAPSHOT_MAX_APPENDS = 2000
+# Seconds for the append of one part. A smaller value abandons the snapshot while the
+# platform is slow.
+APPEND_TIMEOUT = 30.0
+# Least seconds between two snapshots written on request; a smaller value writes one
+# for each of several peers that lack the same records.
+REQUEST_INTERVAL = 10.0
 
 log = logging.getLogger("siskinroad.snapshots")
 
 
 class Snapshotter:
-    """Writes snapshots while this daemon reads the log for its data centre.
+    """Writer of snapshots while this daemon reads the log for its data centre.
 
-    The cell's stream is written by every data centre's reader in turn: whoever
-    finds the last snapshot too old. Two at once do no harm.
+    A snapshot of the cell's stream is written by the reader of any data centre that
+    finds the last one due. Two at once are harmless.
     """
 
     def __init__(self, daemon: DaemonView) -> None:
         self.daemon = daemon
         self.written = 0
-        self._wanted_at = float("-inf")
+        self._last_request_at = float("-inf")
         self._tasks: set[asyncio.Task[None]] = set()
-        self._ledger_at = (1, 0.0)
-        self._cell_at = (1, 0.0)
+        self._last_ledger = (1, 0.0)
+        self._last_cell = (1, 0.0)
 
     async def run(self) -> None:
-        """Write snapshots until cancelled."""
+        """Write snapshots that are due until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(CHECK_TIME)
+            await asyncio.sleep(CHECK_INTERVAL)
             if not self.daemon.ledger.whole:
                 self.daemon.beats.want_snapshot()
             if self.daemon.members.reader(loop.time()) == self.daemon.cfg.name:
-                await self._check(loop.time())
+                await self._write_due(loop.time())
 
-    async def _check(self, now: float) -> None:
+    async def _write_due(self, now: float) -> None:
         daemon = self.daemon
-        if _due(daemon.ledger.next_offset, self._ledger_at, now):
+        if _is_due(daemon.ledger.next_offset, self._last_ledger, now):
             await self._write_ledger(now)
-        if _due(daemon.configuration.next_offset, self._cell_at, now):
+        if _is_due(daemon.configuration.next_offset, self._last_cell, now):
             await self._write_cell(now)
 
-    def wanted(self) -> None:
-        """Write a snapshot for a peer whose records were trimmed."""
+    def write_on_request(self) -> None:
+        """Write a snapshot of the ledger for a peer that missed trimmed records."""
         now = asyncio.get_running_loop().time()
-        if self.daemon.ledger.whole and now - self._wanted_at >= WANTED_PAUSE:
-            self._wanted_at = now
+        if self.daemon.ledger.whole and now - self._last_request_at >= REQUEST_INTERVAL:
+            self._last_request_at = now
             task = asyncio.get_running_loop().create_task(self._write_ledger(now))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
     async def write_all(self) -> None:
-        """Write a snapshot of each stream now."""
+        """Write a snapshot of each stream, due or not."""
         now = asyncio.get_running_loop().time()
         await self._write_ledger(now)
         await self._write_cell(now)
@@ -71,14 +83,14 @@
     async def _write_ledger(self, now: float) -> None:
         ledger = self.daemon.ledger
         if ledger.whole:
-            self._ledger_at = (ledger.next_offset, now)
+            self._last_ledger = (ledger.next_offset, now)
             data = ledger.encode()
             await self._write(self.daemon.appender, ledger.next_offset, data)
 
     async def _write_cell(self, now: float) -> None:
         config = self.daemon.configuration
         if config.revision:
-            self._cell_at = (config.next_offset, now)
+            self._last_cell = (config.next_offset, now)
             data = config.encode()
             await self._write(self.daemon.cell_appender, config.next_offset, data)
 
@@ -88,14 +100,14 @@
         name = f"{daemon.cfg.name}-{daemon.incarnation}-{self.written}"
         try:
             for part in split(name, as_of, data):
-                await appender.put(part, APPEND_TIME)
+                await appender.put(part, APPEND_TIMEOUT)
         except PlatformError as exc:
-            log.warning("snapshots: not written: %s", exc)
+            log.warning("snapshots: snapshot not appended: %s", exc)
 
 
-def _due(offset: int, last: tuple[int, float], now: float) -> bool:
-    """Return whether enough records or time have passed since the last one."""
+def _is_due(offset: int, last: tuple[int, float], now: float) -> bool:
+    """Return whether a snapshot is due, given the last one's offset and time."""
     records = offset - last[0]
-    return records >= SNAPSHOT_RECORDS or (
-        records > 0 and now - last[1] > SNAPSHOT_TIME
+    return records >= SNAPSHOT_MAX_APPENDS or (
+        records > 0 and now - last[1] > SNAPSHOT_MAX_AGE
     )
--- a/siskinroad/status.py
+++ b/siskinroad/status.py
@@ -1,4 +1,4 @@
-"""What operators are shown: status, queues, explanations, the report."""
+"""Views for operators: status, queues, explanations of tasks and the usage report."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
 
 
 class ShardStatus(msgspec.Struct, frozen=True):
-    """One shard of the data centre as this daemon sees it."""
+    """State of one shard of the data centre, as known to this daemon.
+
+    ``hosts`` has the number of hosts in each state.
+    """
 
     shard: str
     owner: str
@@ -38,7 +41,10 @@
 
 
 class DaemonStatus(msgspec.Struct, frozen=True):
-    """One daemon and the shards of its data centre."""
+    """State of one daemon and of the shards of its data centre.
+
+    ``log`` is ``up``, ``unreachable`` or why reading has stopped.
+    """
 
     daemon: str
     data_centre: str
@@ -54,7 +60,7 @@
 
 
 class QueueLine(msgspec.Struct, frozen=True):
-    """One lane; times in seconds."""
+    """Queue of one workload at one shard; times in seconds."""
 
     shard: str
     workload: str
@@ -67,7 +73,7 @@
 
 
 class ReportLine(msgspec.Struct, frozen=True):
-    """One owner's part, in hours of processors, GiB and accelerators."""
+    """Usage of one owner, in hours of processors, GiB and accelerators."""
 
     owner: str
     used: list[float]
@@ -77,29 +83,34 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """Use and idle cost by owner; the columns sum to the capacity exactly."""
+    """Used and idle capacity by owner.
+
+    ``exact`` says whether used and idle sum exactly to the capacity.
+    """
 
     capacity: list[float]
     lines: list[ReportLine]
     exact: bool
 
 
-def _now() -> float:
+def _loop_time() -> float:
     return asyncio.get_running_loop().time()
 
 
 def status_of(daemon: DaemonView) -> DaemonStatus:
-    """Return a daemon's status."""
-    now = _now()
-    stopped = [s.stopped for s in daemon.feed.streams.values() if s.stopped]
-    log = "up" if daemon.feed.reachable(now) else "unreachable"
+    """Return the status of a daemon."""
+    now = _loop_time()
+    stop_reasons = [
+        s.stop_reason for s in daemon.feed.streams.values() if s.stop_reason
+    ]
+    log = "up" if daemon.feed.is_reachable(now) else "unreachable"
     shards = [_shard_status(daemon, shard) for shard in sorted(daemon.ownership.shards)]
     return DaemonStatus(
         daemon.cfg.name,
         daemon.cfg.data_centre,
         daemon.state,
         daemon.configuration.revision,
-        "; ".join(stopped) or log,
+        "; ".join(stop_reasons) or log,
         daemon.members.reader(now),
         sorted(m.name for m in daemon.members.alive(now)),
         daemon.ownership.admits(),
@@ -134,7 +145,7 @@
 
 
 def queue_of(daemon: DaemonView) -> list[QueueLine]:
-    """Return the lanes in which work waits at this daemon."""
+    """Return the workloads that have waiting work at this daemon's shards."""
     lines = []
     for shard, owner in sorted(daemon.shards.owners.items()):
         for lane in owner.scheduler.shard.waiting.lanes.values():
@@ -145,7 +156,7 @@
 
 
 def _queue_line(shard: str, owner: ShardOwner, head: Item) -> QueueLine:
-    now = _now()
+    now = _loop_time()
     state = owner.scheduler.shard
     lane = state.waiting.lanes[head.workload.name]
     return QueueLine(
@@ -161,15 +172,21 @@
 
 
 def explain(daemon: DaemonView, key: str) -> str:
-    """Return in a sentence why a task waits, or where it runs or ran."""
+    """Explain in one sentence why a task waits, where it runs or how it ended.
+
+    Parameters
+    ----------
+    key : str
+        Key of a request, or ``JOB/INDEX`` of a task.
+    """
     for owner in daemon.shards.owners.values():
-        text = _explain_here(owner, key)
+        text = _explain_local(owner, key)
         if text:
             return text
     job, _, index = key.rpartition("/")
     state = daemon.ledger.jobs.get(job or key)
     if state is None:
-        return f"{key} is not known in {daemon.cfg.data_centre}."
+        return f"{key} is unknown in {daemon.cfg.data_centre}."
     shard = state.accepted.shard
     if index.isdecimal() and int(index) in state.ended:
         return f"{key} has ended: {state.ended[int(index)]}."
@@ -178,34 +195,36 @@
     return f"{key} belongs to shard {shard}, which {owner_name} owns; ask there."
 
 
-def _explain_here(owner: ShardOwner, key: str) -> str:
+def _explain_local(owner: ShardOwner, key: str) -> str:
     state = owner.scheduler.shard
     run = state.running.get(key)
     if run is not None:
         hosts = ", ".join(sorted(set(run.hosts.values())))
-        seconds = _now() - run.started
-        return f"{key} runs on {hosts} for {seconds:.1f} s, try {run.item.tries}."
+        seconds = _loop_time() - run.started
+        return (
+            f"{key} has run on {hosts} for {seconds:.1f} s, attempt {run.item.tries}."
+        )
     item = state.items.get(key)
     if item is None:
         return ""
-    waited = _now() - item.enqueued
+    waited = _loop_time() - item.enqueued
     if owner.scheduler.paused:
-        why = "the daemon is not certain that it still owns the hosts"
+        why = "it is uncertain whether this daemon still owns the hosts"
     elif item.hold_until > 0:
-        why = f"it failed and is tried again in {item.hold_until - _now():.1f} s"
+        why = f"it failed and will be retried in {item.hold_until - _loop_time():.1f} s"
     else:
         why = blocked_reason(state, item)
     return f"{key} has waited {waited:.1f} s: {why}."
 
 
 def report_of(daemon: DaemonView) -> Report:
-    """Return use and idle cost of the shards that this daemon owns."""
+    """Return used and idle capacity of the shards that this daemon owns."""
     totals: dict[str, OwnerSpan] = {}
     capacity = [0, 0, 0]
     for owner in daemon.shards.owners.values():
         accounts = owner.scheduler.shard.accounts
-        accounts.settle(milliseconds(_now()))
-        _add(accounts, totals, capacity)
+        accounts.settle(milliseconds(_loop_time()))
+        _add_accounts(accounts, totals, capacity)
     sums = [
         sum(x.used.values[d] + x.idle.values[d] for x in totals.values())
         for d in range(3)
@@ -213,17 +232,19 @@
     lines = [
         ReportLine(
             name,
-            _hours(span.used.values),
-            _hours(span.borrowed.values),
-            _hours(span.lent.values),
-            _hours(span.idle.values),
+            _to_hours(span.used.values),
+            _to_hours(span.borrowed.values),
+            _to_hours(span.lent.values),
+            _to_hours(span.idle.values),
         )
         for name, span in sorted(totals.items())
     ]
-    return Report(_hours(capacity), lines, sums == capacity)
+    return Report(_to_hours(capacity), lines, sums == capacity)
 
 
-def _add(accounts: Accounts, totals: dict[str, OwnerSpan], capacity: list[int]) -> None:
+def _add_accounts(
+    accounts: Accounts, totals: dict[str, OwnerSpan], capacity: list[int]
+) -> None:
     for name, span in accounts.totals().items():
         totals.setdefault(name, OwnerSpan()).add(span)
     for amounts in accounts.capacity.values():
@@ -231,6 +252,6 @@
             capacity[dim] += amounts.values[dim]
 
 
-def _hours(values: list[int]) -> list[float]:
+def _to_hours(values: list[int]) -> list[float]:
     units = (3.6e9, 3.6e6 * 1024, 3.6e6)
     return [round(value / unit, 6) for value, unit in zip(values, units, strict=True)]
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""The whole path between daemons, without listeners."""
+"""Tests of whole daemons on a simulated network, without their HTTP listeners."""
 
 import asyncio
 
@@ -24,25 +24,31 @@
     run(main())
 
 
-def test_a_job_runs_to_its_end():
+def test_a_job_runs_to_its_end_and_a_repeated_submission_returns_it():
+    """A job submitted twice with one key must not run twice."""
+
     async def main():
         world = World(small_cell(), NAMES)
         await world.ready()
-        desk = world.daemons["east-1b"].jobs
+        job_service = world.daemons["east-1b"].jobs
         cell = world.daemons["east-1b"].cell()
-        view = await desk.submit(cell, cell.workloads["recount"], 20, b"", "night")
-        again = await desk.submit(cell, cell.workloads["recount"], 20, b"", "night")
+        view = await job_service.submit(
+            cell, cell.workloads["recount"], 20, b"", "night"
+        )
+        again = await job_service.submit(
+            cell, cell.workloads["recount"], 20, b"", "night"
+        )
         assert again.job == view.job
-        view = await desk.watch(view.job, 60.0)
+        view = await job_service.watch(view.job, 60.0)
         assert view.settled
         assert view.done == 20
-        gang = await desk.submit(cell, cell.workloads["render"], 1, b"", "")
-        assert (await desk.watch(gang.job, 60.0)).done == 1
+        gang = await job_service.submit(cell, cell.workloads["render"], 1, b"", "")
+        assert (await job_service.watch(gang.job, 60.0)).done == 1
 
     run(main())
 
 
-def test_without_configuration_the_refusal_says_so():
+def test_a_daemon_without_configuration_refuses_with_that_reason():
     async def main():
         world = World(small_cell(), ["east-1a"])
         world.log.faults.down = True
@@ -59,7 +65,9 @@
     return world.owners()[shard][0]
 
 
-def test_urgent_work_for_a_dead_owner_restarts_elsewhere_within_the_target():
+def test_urgent_requests_of_a_dead_owner_start_elsewhere_within_1_8_seconds():
+    """The owner crashes with one request in flight, and another arrives after that."""
+
     async def main():
         world = World(small_cell(), NAMES)
         await world.ready()
@@ -67,20 +75,22 @@
         world.seconds["quote"] = 0.5
         dead = _owner_of(world, "booking/east-1/0")
         other = next(n for n in NAMES[:2] if n != dead)
-        waiting = asyncio.create_task(world.ask(other, "quote", b"in flight"))
+        in_flight = asyncio.create_task(world.ask(other, "quote", b"in flight"))
         await asyncio.sleep(0.1)
-        killed = loop.time()
+        killed_at = loop.time()
         await world.kill(dead)
         late = [asyncio.create_task(world.ask(other, "quote", b"late"))]
-        await asyncio.gather(waiting, *late)
-        began = [e.time for e in world.events if e.host[0] == "w" and e.kind == "start"]
-        assert len(began) == 2
-        assert max(began) - killed <= 1.8
+        await asyncio.gather(in_flight, *late)
+        starts = [
+            e.time for e in world.events if e.host[0] == "w" and e.kind == "start"
+        ]
+        assert len(starts) == 2
+        assert max(starts) - killed_at <= 1.8
 
     run(main())
 
 
-def test_a_dead_daemons_hosts_are_taken_over_within_five_seconds():
+def test_the_shard_of_a_dead_daemon_is_taken_over_within_five_seconds():
     async def main():
         world = World(small_cell(), NAMES)
         await world.ready()
@@ -92,7 +102,9 @@
     run(main())
 
 
-def test_a_restart_under_the_same_name_waits_for_no_lease():
+def test_a_restarted_daemon_does_not_wait_for_its_own_lease():
+    """A new incarnation proves that the lease of the earlier one is over."""
+
     async def main():
         world = World(small_cell(), ["east-1a"])
         await world.ready()
@@ -113,17 +125,21 @@
         world.start("east-1a")
         for number in range(30):
             cell = world.daemons["east-1b"].cell()
-            desk = world.daemons["east-1b"].jobs
-            await desk.submit(cell, cell.workloads["recount"], 5, b"", f"j{number}")
+            job_service = world.daemons["east-1b"].jobs
+            await job_service.submit(
+                cell, cell.workloads["recount"], 5, b"", f"j{number}"
+            )
             await world.ask("west-1a", "dispatch", b"x", f"key{number}")
         await asyncio.sleep(30.0)
-        spent = asyncio.get_running_loop().time() - began
-        assert (world.log.appends - before) / spent <= 50
+        elapsed = asyncio.get_running_loop().time() - began
+        assert (world.log.appends - before) / elapsed <= 50
 
     run(main())
 
 
-def test_a_data_centre_cut_from_the_platform_serves_requests_and_refuses_keys():
+def test_without_the_platform_requests_are_served_and_new_keys_refused():
+    """A key that the log cannot store could run twice, so it is refused as not run."""
+
     async def main():
         world = World(small_cell(), NAMES)
         await world.ready()
@@ -142,45 +158,51 @@
     run(main())
 
 
-def test_no_retry_storm_after_an_outage_of_all_hosts():
+def test_an_outage_of_all_hosts_causes_no_retry_storm():
+    """Retries without a budget would multiply the load on hosts that recover."""
+
     async def main():
         world = World(small_cell(), NAMES)
         await world.ready()
         for worker in world.workers.values():
             worker.faults.failing = True
-        asking = []
+        requests = []
         for number in range(600):
             body = b"q%d" % number
-            asking.append(asyncio.create_task(world.ask("east-1a", "quote", body)))
+            requests.append(asyncio.create_task(world.ask("east-1a", "quote", body)))
             await asyncio.sleep(0.02)
         for worker in world.workers.values():
             worker.faults.failing = False
-        answers = await asyncio.gather(*asking, return_exceptions=True)
+        answers = await asyncio.gather(*requests, return_exceptions=True)
         starts = [e for e in world.events if e.kind == "start"]
         assert len(answers) == 600
-        # A tenth more, and the floor of each shard's budget.
+        # The retry budget: 10% more starts, and at least 10 retries for each shard.
         assert len(starts) <= 600 * 1.1 + 2 * 10
 
     run(main())
 
 
-def test_a_keyed_job_has_one_home_wherever_it_is_submitted():
+def test_a_keyed_job_gets_the_same_name_at_every_daemon():
+    """Different names would let one key run two jobs."""
+
     async def main():
         world = World(small_cell(), NAMES)
         await world.ready()
         for key in ("spring", "summer", "autumn"):
-            names = set()
+            jobs = set()
             for daemon in world.daemons.values():
                 cell = daemon.cell()
                 recount = cell.workloads["recount"]
                 view = await daemon.jobs.submit(cell, recount, 1, b"", key)
-                names.add(view.job)
-            assert len(names) == 1
+                jobs.add(view.job)
+            assert len(jobs) == 1
 
     run(main())
 
 
-def test_a_rack_of_daemons_is_replaced_within_ten_seconds():
+def test_two_daemons_that_fail_together_are_replaced_within_ten_seconds():
+    """A rack that fails takes all its daemons with it."""
+
     async def main():
         names = ["east-1a", "east-1b", "east-1c", "west-1a"]
         world = World(small_cell(), names)
@@ -190,21 +212,23 @@
         await world.kill(dead)
         await world.kill(other)
         await asyncio.sleep(10.0)
-        left = next(n for n in world.daemons if n.startswith("east"))
-        assert _owner_of(world, "booking/east-1/0") == left
+        survivor = next(n for n in world.daemons if n.startswith("east"))
+        assert _owner_of(world, "booking/east-1/0") == survivor
         world.seconds["quote"] = 0.1
-        assert (await world.ask(left, "quote", b"served")).body == b"served"
+        assert (await world.ask(survivor, "quote", b"served")).body == b"served"
 
     run(main())
 
 
-def test_a_change_is_in_force_everywhere_within_the_target_and_by_peers_alone():
+def test_a_revision_reaches_all_daemons_and_a_restarted_one_from_peers_alone():
+    """A daemon that starts while the platform is down must get the cell file."""
+
     async def main():
         world = World(small_cell(), NAMES)
         await world.ready()
         daemon = world.daemons["west-1a"]
-        done = await daemon.publisher.apply(world.text + "# two\n", 1)
-        assert (done.revision, done.not_yet) == (2, [])
+        applied = await daemon.publisher.apply(world.text + "# two\n", 1)
+        assert (applied.revision, applied.not_yet) == (2, [])
         await asyncio.sleep(10.0)
         assert {d.configuration.revision for d in world.daemons.values()} == {2}
         world.log.faults.down = True
@@ -217,15 +241,17 @@
     run(main())
 
 
-def test_jobs_that_a_snapshot_brings_are_run():
+def test_jobs_learned_from_a_snapshot_are_run():
+    """A job's record may be trimmed before the owner of its shard has read it."""
+
     async def main():
         world = World(small_cell(), ["east-1a", "east-1b"])
         await world.ready()
-        first = _owner_of(world, "booking/east-1/0")
-        owner = world.daemons[first]
-        other = world.daemons[next(n for n in world.daemons if n != first)]
-        world.network.pause(first)
-        world.log.faults.cut.add(first)
+        owner_name = _owner_of(world, "booking/east-1/0")
+        owner = world.daemons[owner_name]
+        other = world.daemons[next(n for n in world.daemons if n != owner_name)]
+        world.network.pause(owner_name)
+        world.log.faults.cut.add(owner_name)
         record = JobAccepted(
             "east-1.x", "recount", "records", "booking/east-1/0", 2, b""
         )
@@ -234,8 +260,8 @@
         as_of = other.ledger.next_offset
         await other.snapshotter.write_all()
         world.log.trim("dc.east-1", as_of)
-        world.network.resume(first)
-        world.log.faults.cut.discard(first)
+        world.network.resume(owner_name)
+        world.log.faults.cut.discard(owner_name)
         await asyncio.sleep(30.0)
         assert owner.ledger.jobs["east-1.x"].settled
 
--- a/tests/test_logfeed.py
+++ b/tests/test_logfeed.py
@@ -1,4 +1,4 @@
-"""Following the log: through the reader, alone, over gaps, and never wrongly."""
+"""Tests of reading the log: directly, through the reader, over gaps and faults."""
 
 import asyncio
 import random
@@ -13,6 +13,8 @@
 
 
 class Follower:
+    """A ``LogFeed`` of daemon ``a`` on one stream, with what it reported and sent."""
+
     def __init__(self, platform):
         self.offset = 1
         self.skipped = 0
@@ -38,11 +40,11 @@
         self.offset = first
 
 
-def record(number):
+def encode_record(number):
     return encode_batch("a", [DaemonJoined(f"d{number}", number)])
 
 
-def follow(platform, seconds=3.0, during=None):
+def run_follower(platform, seconds=3.0, during=None):
     async def main():
         follower = Follower(platform)
         task = asyncio.create_task(follower.feed.run())
@@ -55,23 +57,24 @@
     return run(main())
 
 
-def filled(count):
+def filled_log(count):
     log = MemoryLog()
     for number in range(count):
-        log.append("s", record(number))
+        log.append("s", encode_record(number))
     return log
 
 
 def test_the_log_is_read_to_its_end_and_confirmed():
-    follower = follow(MemoryPlatform(filled(1200)))
+    follower = run_follower(MemoryPlatform(filled_log(1200)))
     assert follower.offset == 1201
     assert follower.confirmed
 
 
-def test_records_heard_during_a_read_do_not_look_like_a_shorter_log():
-    log = filled(3)
+def test_records_received_during_a_read_are_not_taken_for_a_shorter_log():
+    """A peer's records may pass the tail of a read in flight, which is no fault."""
+    log = filled_log(3)
 
-    class Slow(MemoryPlatform):
+    class SlowPlatform(MemoryPlatform):
         async def read(self, stream, start, limit):
             page = await super().read(stream, start, limit)
             await asyncio.sleep(0.5)
@@ -79,45 +82,52 @@
 
     async def during(follower):
         await asyncio.sleep(0.1)
-        records = [record(number) for number in range(6)]
+        records = [encode_record(number) for number in range(6)]
         for data in records[3:]:
             log.append("s", data)
-        follower.feed.hear_records(LogRecords("s", 1, records))
+        follower.feed.handle_records(LogRecords("s", 1, records))
 
-    follower = follow(Slow(log), during=during)
-    assert (follower.stream.stopped, follower.offset) == ("", 7)
+    follower = run_follower(SlowPlatform(log), during=during)
+    assert (follower.stream.stop_reason, follower.offset) == ("", 7)
 
 
 def test_a_log_that_became_shorter_stops_the_reader():
-    class Shorter(MemoryPlatform):
+    """After a loss of records, offsets would stand for other records than before."""
+
+    class ShrinkingPlatform(MemoryPlatform):
         async def read(self, stream, start, limit):
             page = await super().read(stream, start, limit)
             return LogPage(1, 1, [], 2) if start > 2 else page
 
-    follower = follow(Shorter(filled(3)))
-    assert "log ends at 2" in follower.stream.stopped
+    follower = run_follower(ShrinkingPlatform(filled_log(3)))
+    assert "log ends at 2" in follower.stream.stop_reason
 
 
 def test_trimmed_records_are_skipped_and_a_damaged_one_stops_the_reader():
-    log = filled(5)
+    """Reading past a damaged record would give daemons different states."""
+    log = filled_log(5)
     log.trim("s", 4)
-    follower = follow(MemoryPlatform(log))
+    follower = run_follower(MemoryPlatform(log))
     assert (follower.skipped, follower.offset) == (4, 6)
     log.append("s", b"\xffdamaged")
-    log.append("s", record(9))
-    follower = follow(MemoryPlatform(log))
+    log.append("s", encode_record(9))
+    follower = run_follower(MemoryPlatform(log))
     assert follower.offset == 6
-    assert "damaged" in follower.stream.stopped
+    assert "damaged" in follower.stream.stop_reason
 
 
-def test_a_gap_is_asked_for_and_a_lagging_peer_is_served():
+def test_records_after_a_gap_wait_and_a_lagging_peer_is_sent_recent_ones():
+    """Records behind a gap must not be applied; a reply never starts after a gap."""
+
     async def main():
-        follower = Follower(MemoryPlatform(filled(0)))
-        follower.feed.hear_records(LogRecords("s", 3, [record(3)]))
+        follower = Follower(MemoryPlatform(filled_log(0)))
+        follower.feed.handle_records(LogRecords("s", 3, [encode_record(3)]))
         assert follower.offset == 1
-        follower.feed.hear_records(LogRecords("s", 1, [record(1), record(2)]))
-        follower.feed.hear_fetch(LogFetch("b", "s", 2))
-        follower.feed.hear_fetch(LogFetch("b", "s", 0))
+        follower.feed.handle_records(
+            LogRecords("s", 1, [encode_record(1), encode_record(2)])
+        )
+        follower.feed.handle_fetch(LogFetch("b", "s", 2))
+        follower.feed.handle_fetch(LogFetch("b", "s", 0))
         return follower
 
     follower = run(main())
