--- a/siskinroad/publisher.py
+++ b/siskinroad/publisher.py
@@ -137,11 +137,13 @@
     def _split_by_revision(
         self, revision: int, now: float
     ) -> tuple[list[str], list[str]]:
-        revisions = {m.name: m.revision for m in self.members.alive(now)}
-        revisions[self.name] = self.configuration.revision
-        revisions.update(self.loads.revisions)
-        current = [name for name, known in revisions.items() if known >= revision]
-        return current, [name for name, known in revisions.items() if known < revision]
+        seen_revisions = {m.name: m.revision for m in self.members.alive(now)}
+        seen_revisions[self.name] = self.configuration.revision
+        seen_revisions.update(self.loads.revisions)
+        current = [name for name, known in seen_revisions.items() if known >= revision]
+        return current, [
+            name for name, known in seen_revisions.items() if known < revision
+        ]
 
 
 def _request_key(text: str, expect: int | None) -> str:
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -189,13 +189,13 @@
         world = World(small_cell(), NAMES)
         await world.ready()
         for key in ("spring", "summer", "autumn"):
-            jobs = set()
+            job_names = set()
             for daemon in world.daemons.values():
                 cell = daemon.cell()
                 recount = cell.workloads["recount"]
                 view = await daemon.jobs.submit(cell, recount, 1, b"", key)
-                jobs.add(view.job)
-            assert len(jobs) == 1
+                job_names.add(view.job)
+            assert len(job_names) == 1
 
     run(main())
 
