--- a/siskinroad/peers.py
+++ b/siskinroad/peers.py
@@ -1,4 +1,4 @@
-"""Links between daemons: the base class and an in-memory network."""
+"""Message transport between daemons: the base class and an in-memory network."""
 
 from __future__ import annotations
 
@@ -30,11 +30,12 @@
 
 
 class Reach(StrEnum):
-    """What a new connection to a peer meets.
+    """Result of an attempt to open a new connection to a peer.
 
-    ``LISTENS``: it is accepted, if perhaps only by the kernel of its host.
-    ``REFUSES``: the host is up and nothing listens, so that the process that did
-    has ended, unless a cut refuses in its place. ``SILENT``: no answer.
+    ``LISTENS``: the connection was accepted, possibly only by the kernel of the
+    peer's host. ``REFUSES``: the connection was refused. The host is up and its
+    daemon has ended, unless a network device refuses connections during a partition.
+    ``SILENT``: there was no reply.
     """
 
     LISTENS = "listens"
@@ -44,28 +45,40 @@
 
 @dataclass(slots=True)
 class PeerTraffic:
-    """Bytes and messages sent, by kind of message."""
+    """Counters of the messages and bytes sent and the bytes received.
+
+    Attributes
+    ----------
+    messages : dict
+        Messages sent, by message type.
+    sent : dict
+        Bytes sent, by message type.
+    received : int
+        Bytes received.
+    """
 
     messages: dict[str, int] = field(default_factory=dict)
     sent: dict[str, int] = field(default_factory=dict)
     received: int = 0
 
     def count(self, msg: object, size: int) -> None:
-        """Count one message sent."""
+        """Count one sent message of ``size`` bytes."""
         kind = type(msg).__name__
         self.messages[kind] = self.messages.get(kind, 0) + 1
         self.sent[kind] = self.sent.get(kind, 0) + size
 
 
 class Peers(ABC):
-    """Sends messages to daemons by name; delivery is not certain.
+    """Base class of transports that send messages to daemons by name.
+
+    Delivery is not guaranteed.
 
     Attributes
     ----------
     receiver : callable
-        Called with the sender's name and each message that arrives.
+        Called with the sender's name and the message for each message received.
     connected, disconnected : callable or None
-        Called with the name of a peer to which a connection stands, or has ended.
+        Called with the peer's name when a connection to it is established or lost.
     """
 
     def __init__(self, codec: Codec = CELL_CODEC) -> None:
@@ -77,31 +90,31 @@
 
     @abstractmethod
     def send(self, name: str, msg: Any) -> None:
-        """Send a message if the peer is known; never wait."""
+        """Send a message without blocking; drop it if the peer is unknown."""
 
     @abstractmethod
     async def probe(self, name: str) -> Reach:
-        """Return what a new connection to a peer meets."""
+        """Try to open a new connection to a peer and return the result."""
 
     @abstractmethod
     async def close(self) -> None:
-        """Release all connections."""
+        """Close all connections."""
 
 
 @dataclass(slots=True)
 class NetworkFaults:
-    """Faults of an in-memory network.
+    """Faults injected into an in-memory network.
 
     Attributes
     ----------
     cut : set of tuple
-        Ordered pairs (from, to) between which nothing passes.
+        Ordered pairs (sender, receiver) between which no message is delivered.
     loss : float
         Probability that a message is lost.
     duplicate : float
-        Probability that a message arrives twice.
+        Probability that a message is delivered twice.
     jitter : float
-        Most seconds by which a message is delayed; messages may overtake.
+        Maximum additional delay of a message, in seconds; messages may be reordered.
     """
 
     cut: set[tuple[str, str]] = field(default_factory=set)
@@ -111,7 +124,13 @@
 
 
 class MemoryNetwork:
-    """Delivers messages between daemons of one process on the loop's clock."""
+    """Network between the daemons of one process, timed by the event loop's clock.
+
+    Parameters
+    ----------
+    delay : float
+        One-way delay of a message, in seconds.
+    """
 
     def __init__(self, rng: random.Random, delay: float = 0.0005) -> None:
         self.rng = rng
@@ -119,26 +138,26 @@
         self.faults = NetworkFaults()
         self.nodes: dict[str, MemoryPeers] = {}
         self.paused: dict[str, list[tuple[str, bytes]]] = {}
-        # Daemons whose hosts are without power: nothing tells of their end.
+        # Daemons on hosts without power: their peers get no notice of disconnection.
         self.dark: set[str] = set()
 
     def join(self, name: str, codec: Codec = CELL_CODEC) -> MemoryPeers:
-        """Return the link of one daemon, to which the others connect at once."""
+        """Add a daemon, notify the others and return its transport."""
         self.nodes[name] = MemoryPeers(self, name, codec)
         for node in self.nodes.values():
             if node.connected is not None and (node.name, name) not in self.faults.cut:
-                self._tell(node, node.connected, name)
+                self._schedule_callback(node, node.connected, name)
         return self.nodes[name]
 
-    def _tell(
+    def _schedule_callback(
         self, node: MemoryPeers, callback: Callable[[str], None], name: str
     ) -> None:
-        """Call back a daemon about another one, a little later."""
+        """Schedule a node's callback about another daemon after the network delay."""
         if node.name != name and not node.closed:
             asyncio.get_running_loop().call_later(self.delay, callback, name)
 
-    def post(self, sender: str, name: str, data: bytes) -> None:
-        """Deliver bytes later, unless a fault says otherwise."""
+    def schedule_delivery(self, sender: str, name: str, data: bytes) -> None:
+        """Schedule the delivery of a message, subject to the injected faults."""
         faults = self.faults
         if (sender, name) in faults.cut or self.rng.random() < faults.loss:
             return
@@ -157,25 +176,25 @@
             node.traffic.received += len(data)
             node.receiver(sender, node.codec.decode(data, sender))
 
-    def ended(self, name: str) -> None:
-        """Tell the other daemons that the connections of one have ended."""
+    def notify_disconnected(self, name: str) -> None:
+        """Notify the other daemons that they lost the connection to this one."""
         for node in self.nodes.values():
-            apart = (name, node.name) in self.faults.cut or name in self.dark
-            if node.disconnected is not None and not apart:
-                self._tell(node, node.disconnected, name)
+            is_cut_off = (name, node.name) in self.faults.cut or name in self.dark
+            if node.disconnected is not None and not is_cut_off:
+                self._schedule_callback(node, node.disconnected, name)
 
     def pause(self, name: str) -> None:
-        """Hold what arrives for a daemon, as while its process is stopped."""
+        """Buffer messages to a daemon, as the kernel does for a stopped process."""
         self.paused.setdefault(name, [])
 
     def resume(self, name: str) -> None:
-        """Deliver what was held."""
+        """Deliver the messages buffered since ``pause``."""
         for sender, data in self.paused.pop(name, []):
             self._deliver(sender, name, data)
 
 
 class MemoryPeers(Peers):
-    """One daemon's link to a ``MemoryNetwork``."""
+    """One daemon's transport on a ``MemoryNetwork``."""
 
     def __init__(
         self, network: MemoryNetwork, name: str, codec: Codec = CELL_CODEC
@@ -191,19 +210,19 @@
             return
         data = self.codec.encode(msg)
         self.traffic.count(msg, len(data))
-        self.network.post(self.name, name, data)
+        self.network.schedule_delivery(self.name, name, data)
 
     async def probe(self, name: str) -> Reach:
-        """Return whether a peer's link is open; see the base class."""
+        """Return whether a peer's transport is open; see the base class."""
         await asyncio.sleep(2 * self.network.delay)
         cut = self.network.faults.cut
         node = self.network.nodes.get(name)
-        apart = (self.name, name) in cut or (name, self.name) in cut
-        if node is None or apart or name in self.network.dark:
+        is_cut_off = (self.name, name) in cut or (name, self.name) in cut
+        if node is None or is_cut_off or name in self.network.dark:
             return Reach.SILENT
         return Reach.REFUSES if node.closed else Reach.LISTENS
 
     async def close(self) -> None:
-        """Send and receive nothing any more."""
+        """Stop sending and receiving, and notify the peers."""
         self.closed = True
-        self.network.ended(self.name)
+        self.network.notify_disconnected(self.name)
--- a/tests/test_peers_zmq.py
+++ b/tests/test_peers_zmq.py
@@ -1,4 +1,4 @@
-"""Peers over real sockets: messages arrive, unknown keys do not."""
+"""Tests of the ZeroMQ transport over loopback sockets."""
 
 import asyncio
 
@@ -7,11 +7,13 @@
 from siskinroad.peers_zmq import ZmqPeers, new_keys
 from siskinroad.settings import Peer, Settings
 
-TRIES = 1000
-REFUSED_TRIES = 40
+# Messages sent, 50 ms apart, before a missing delivery counts as a failure.
+MAX_SENDS = 1000
+# Messages sent, 50 ms apart, before a peer counts as rejected (2 s).
+REFUSED_SENDS = 40
 
 
-def link(name, address, peers, keys=("", "")):
+def open_transport(name, address, peers, keys=("", "")):
     cfg = Settings(
         name,
         "d",
@@ -21,33 +23,38 @@
         public_key=keys[0],
         secret_key=keys[1],
     )
-    got = []
-    peers_ = ZmqPeers(cfg)
-    peers_.receiver = lambda peer, msg: got.append((peer, msg.id))
-    peers_.open()
-    return peers_, got
+    received = []
+    transport = ZmqPeers(cfg)
+    transport.receiver = lambda peer, msg: received.append((peer, msg.id))
+    transport.open()
+    return transport, received
 
 
-async def until(got, sender, name, tries=TRIES):
-    for number in range(tries):
+async def send_until_received(received, sender, name, max_sends=MAX_SENDS):
+    """Send messages until one is received; return whether one was."""
+    for number in range(max_sends):
         sender.send(name, ForwardAck(str(number)))
         await asyncio.sleep(0.05)
-        if got:
+        if received:
             return True
     return False
 
 
-def test_messages_arrive_with_and_without_keys():
-    async def main(keyed):
-        one, two = free_addresses(2)
-        keys = [new_keys() if keyed else ("", "") for _ in range(2)]
-        a, got_a = link("a", one, (Peer("b", two, "d", "r", keys[1][0]),), keys[0])
-        b, got_b = link("b", two, (Peer("a", one, "d", "r", keys[0][0]),), keys[1])
-        assert await until(got_b, a, "b")
-        assert await until(got_a, b, "a")
-        assert got_b[0][0] == "a"
+def test_messages_are_delivered_with_and_without_keys():
+    async def main(with_keys):
+        address_a, address_b = free_addresses(2)
+        keys = [new_keys() if with_keys else ("", "") for _ in range(2)]
+        a, received_a = open_transport(
+            "a", address_a, (Peer("b", address_b, "d", "r", keys[1][0]),), keys[0]
+        )
+        b, received_b = open_transport(
+            "b", address_b, (Peer("a", address_a, "d", "r", keys[0][0]),), keys[1]
+        )
+        assert await send_until_received(received_b, a, "b")
+        assert await send_until_received(received_a, b, "a")
+        assert received_b[0][0] == "a"
         a.send("nobody", ForwardAck("x"))
-        assert a.unsent == 1
+        assert a.unsent_count == 1
         await a.close()
         await b.close()
 
@@ -55,48 +62,56 @@
     asyncio.run(main(True))
 
 
-def test_a_peer_with_an_unknown_key_is_not_heard():
+def test_messages_from_a_peer_with_an_unknown_key_are_rejected():
     async def main():
-        one, two = free_addresses(2)
-        good, own, stranger = new_keys(), new_keys(), new_keys()
-        b, got_b = link("b", two, (Peer("a", one, "d", "r", good[0]),), own)
-        a, _ = link("a", one, (Peer("b", two, "d", "r", own[0]),), stranger)
-        assert not await until(got_b, a, "b", REFUSED_TRIES)
+        address_a, address_b = free_addresses(2)
+        known_keys, own_keys, unknown_keys = new_keys(), new_keys(), new_keys()
+        b, received_b = open_transport(
+            "b", address_b, (Peer("a", address_a, "d", "r", known_keys[0]),), own_keys
+        )
+        a, _ = open_transport(
+            "a", address_a, (Peer("b", address_b, "d", "r", own_keys[0]),), unknown_keys
+        )
+        assert not await send_until_received(received_b, a, "b", REFUSED_SENDS)
         await a.close()
         await b.close()
 
     asyncio.run(main())
 
 
-def test_noise_on_the_socket_is_counted_and_dropped():
+def test_undecodable_messages_are_counted_and_dropped():
+    """A message that cannot be decoded must not end the receive loop."""
+
     async def main():
-        one, two = free_addresses(2)
-        a, _ = link("a", one, (Peer("b", two, "d", "r"),))
-        b, got_b = link("b", two, ())
-        assert await until(got_b, a, "b")
+        address_a, address_b = free_addresses(2)
+        a, _ = open_transport("a", address_a, (Peer("b", address_b, "d", "r"),))
+        b, received_b = open_transport("b", address_b, ())
+        assert await send_until_received(received_b, a, "b")
         await a._dealers["b"].send(b"\xff\x00noise")
-        got_b.clear()
-        assert await until(got_b, a, "b")
-        assert b.undecodable == 1
+        received_b.clear()
+        assert await send_until_received(received_b, a, "b")
+        assert b.undecodable_count == 1
         await a.close()
         await b.close()
 
     asyncio.run(main())
 
 
-def test_the_end_of_a_peer_is_told_and_nothing_listens_there_then():
+def test_closing_a_peer_is_reported_and_its_port_refuses_connections():
+    """A daemon learns that a peer has ended from its lost connection and a probe."""
+
     async def main():
-        one, two = free_addresses(2)
-        a, _ = link("a", one, (Peer("b", two, "d", "r"),))
-        b, got_b = link("b", two, ())
-        ended = []
-        a.disconnected = ended.append
-        assert await until(got_b, a, "b")
+        address_a, address_b = free_addresses(2)
+        a, _ = open_transport("a", address_a, (Peer("b", address_b, "d", "r"),))
+        b, received_b = open_transport("b", address_b, ())
+        lost_peers = []
+        a.disconnected = lost_peers.append
+        assert await send_until_received(received_b, a, "b")
         assert await a.probe("b") == "listens"
         await b.close()
-        while not ended:
+        while not lost_peers:
             await asyncio.sleep(0.01)
-        assert ended == ["b"]
+        assert lost_peers == ["b"]
         assert await a.probe("b") == "refuses"
         assert await a.probe("nobody") == "silent"
         await a.close()
@@ -104,22 +119,28 @@
     asyncio.run(main())
 
 
-def test_a_peer_s_new_life_is_reached_without_the_pause_between_attempts():
+def test_a_new_incarnation_is_reached_without_the_reconnect_pause():
+    """``learn`` must replace a lost connection.
+
+    ZeroMQ's pause between connection attempts grows while the peer is down, which
+    would delay the first messages to its new incarnation.
+    """
+
     async def main():
-        one, two = free_addresses(2)
-        peer = Peer("b", two, "d", "r")
-        a, _ = link("a", one, (peer,))
-        b, got_b = link("b", two, ())
-        assert await until(got_b, a, "b")
+        address_a, address_b = free_addresses(2)
+        peer = Peer("b", address_b, "d", "r")
+        a, _ = open_transport("a", address_a, (peer,))
+        b, received_b = open_transport("b", address_b, ())
+        assert await send_until_received(received_b, a, "b")
         await b.close()
-        while "b" not in a._broken:
+        while "b" not in a._lost_peers:
             await asyncio.sleep(0.01)
-        old = a._dealers["b"]
-        b, got_b = link("b", two, ())
+        old_dealer = a._dealers["b"]
+        b, received_b = open_transport("b", address_b, ())
         a.learn(peer)
         a.send("b", ForwardAck("x"))
-        assert a._dealers["b"] is not old
-        assert await until(got_b, a, "b")
+        assert a._dealers["b"] is not old_dealer
+        assert await send_until_received(received_b, a, "b")
         await a.close()
         await b.close()
 
