--- a/siskinroad/platform.py
+++ b/siskinroad/platform.py
@@ -1,4 +1,4 @@
-"""What the platform gives: an append-only log and a lagging list of hosts."""
+"""Interface to the platform: append-only streams and a lagging list of hosts."""
 
 from __future__ import annotations
 
@@ -29,14 +29,14 @@
 
 
 class ListedHost(msgspec.Struct, frozen=True):
-    """One entry of the live list; ``GONE`` means terminated for good."""
+    """One entry of the host list; ``GONE`` means permanently terminated."""
 
     name: str
     state: HostState
 
 
 class HostList(msgspec.Struct, frozen=True):
-    """The live list of one data centre; ``hosts`` is None if it is unchanged."""
+    """The host list of one data centre; ``hosts`` is None if it is unchanged."""
 
     version: str
     hosts: list[ListedHost] | None
@@ -48,13 +48,13 @@
     Attributes
     ----------
     first : int
-        The oldest offset that is still retained.
+        Oldest offset that is still retained.
     start : int
-        Offset of the first of ``records``.
+        Offset of the first record in ``records``.
     records : list of bytes
-        One entry for each append.
+        One entry per append.
     tail : int
-        The offset that the next append will get.
+        Offset that the next append will be given.
     """
 
     first: int
@@ -64,7 +64,7 @@
 
     @property
     def next(self) -> int:
-        """The offset after the last record of this page."""
+        """Offset after the last record of this page."""
         return self.start + len(self.records)
 
 
@@ -74,10 +74,10 @@
 
 
 class Platform(ABC):
-    """The platform as the daemons see it.
+    """Base class of clients of the platform.
 
-    Every method raises ``PlatformError`` when the platform does not answer in
-    time. An append that raises may nevertheless have taken effect.
+    Every method raises ``PlatformError`` if the platform does not reply in time.
+    An append that raises may have taken effect all the same.
     """
 
     @abstractmethod
@@ -86,24 +86,26 @@
 
     @abstractmethod
     async def read(self, stream: str, start: int, limit: int) -> LogPage:
-        """Return up to ``limit`` records from ``start`` on.
+        """Read up to ``limit`` records, beginning at offset ``start``.
 
         Raises
         ------
         LogTrimmedError
-            If ``start`` is no longer retained.
+            If the record at ``start`` is no longer retained.
         """
 
     @abstractmethod
     async def hosts(self, data_centre: str, known: str) -> HostList:
-        """Return the lagging list of a data centre's upstream and entry hosts.
+        """Return the list of a data centre's upstream and entry hosts.
+
+        The list lags behind the state of the hosts.
 
         Parameters
         ----------
         known : str
-            Version of the list that the caller has, empty if none.
+            Version of the list that the caller holds; empty if it holds none.
         """
 
     async def close(self) -> None:
-        """Release connections."""
+        """Close all connections."""
         return None
--- a/siskinroad/platform_http.py
+++ b/siskinroad/platform_http.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP, as ``docs/PLATFORM.md`` states it."""
+"""HTTP client of the platform; ``docs/PLATFORM.md`` specifies the protocol."""
 
 from __future__ import annotations
 
@@ -19,21 +19,23 @@
 
 _T = TypeVar("_T")
 
-REQUEST_TIME = 3.0
-OK = 200
-TRIMMED = 410
+# Time limit of one request to the platform, in seconds.
+REQUEST_TIMEOUT = 3.0
+STATUS_OK = 200
+# The requested offset is no longer retained.
+STATUS_TRIMMED = 410
 
 
-class _Appended(msgspec.Struct):
+class _AppendReply(msgspec.Struct):
     offset: int
 
 
-class _Trimmed(msgspec.Struct):
+class _TrimmedReply(msgspec.Struct):
     first: int
 
 
 class HttpPlatform(Platform):
-    """A client of the platform's service at one address."""
+    """Client of the platform's HTTP service at one address."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -41,48 +43,52 @@
 
     async def append(self, stream: str, data: bytes) -> int:
         """Append one record; see the base class."""
-        answer = await self._ask("POST", f"/log/{stream}", data, "append")
-        return _decode(answer, _Appended, "append").offset
+        answer = await self._request("POST", f"/log/{stream}", data, "append")
+        return _decode_body(answer, _AppendReply, "append").offset
 
     async def read(self, stream: str, start: int, limit: int) -> LogPage:
         """Read records; see the base class."""
         target = f"/log/{stream}?from={start}&limit={limit}"
-        answer = await self._ask("GET", target, b"", "read")
-        if answer.status == TRIMMED:
-            first = _decode(answer, _Trimmed, "read").first
+        answer = await self._request("GET", target, b"", "read")
+        if answer.status == STATUS_TRIMMED:
+            first = _decode_body(answer, _TrimmedReply, "read").first
             raise LogTrimmedError(first, peer=self.address)
-        return _decode(answer, LogPage, "read")
+        return _decode_body(answer, LogPage, "read")
 
     async def hosts(self, data_centre: str, known: str) -> HostList:
-        """Return the list; see the base class."""
+        """Return the host list; see the base class."""
         target = f"/hosts/{data_centre}?known={known}"
-        answer = await self._ask("GET", target, b"", "hosts")
-        return _decode(answer, HostList, "hosts")
+        answer = await self._request("GET", target, b"", "hosts")
+        return _decode_body(answer, HostList, "hosts")
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         self.pool.close()
 
-    async def _ask(
+    async def _request(
         self, method: str, target: str, body: bytes, step: str
     ) -> HttpAnswer:
         try:
             answer = await self.pool.request(
-                self.address, method, target, body=body, limit=REQUEST_TIME
+                self.address, method, target, body=body, limit=REQUEST_TIMEOUT
             )
         except (NotSentError, OutcomeUnknownError) as exc:
             raise PlatformError(
                 exc.message, step=f"platform.{step}", peer=self.address
             ) from exc
-        if answer.status not in (OK, TRIMMED):
+        if answer.status not in (STATUS_OK, STATUS_TRIMMED):
             raise PlatformError(
-                f"status {answer.status}", step=f"platform.{step}", peer=self.address
+                f"expected status {STATUS_OK} or {STATUS_TRIMMED}, got {answer.status}",
+                step=f"platform.{step}",
+                peer=self.address,
             )
         return answer
 
 
-def _decode(answer: HttpAnswer, kind: type[_T], step: str) -> _T:
+def _decode_body(answer: HttpAnswer, kind: type[_T], step: str) -> _T:
     try:
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.MsgspecError as exc:
-        raise PlatformError(f"answer: {exc}", step=f"platform.{step}") from exc
+        raise PlatformError(
+            f"reply cannot be decoded: {exc}", step=f"platform.{step}"
+        ) from exc
--- a/siskinroad/platform_memory.py
+++ b/siskinroad/platform_memory.py
@@ -1,4 +1,4 @@
-"""An in-memory stand-in of the platform, with faults on request."""
+"""In-memory implementation of the platform, with fault injection."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 
 __all__ = ["MemoryLog", "MemoryPlatform", "PlatformFaults"]
 
-MAX_RECORD = 1 << 20
+# Largest record that an append accepts.
+MAX_RECORD_BYTES = 1 << 20
 
 
 @dataclass(slots=True)
 class PlatformFaults:
-    """Faults in force.
+    """Faults injected into the platform.
 
     Attributes
     ----------
     down : bool
-        Nothing is answered; appends have no effect.
+        All calls fail, and appends have no effect.
     lose_answers : int
-        So many of the next appends take effect but are not answered.
+        Number of following appends that take effect although their replies are lost.
     delay : float
-        Seconds before each answer.
+        Delay of each call, in seconds.
     cut : set of str
-        Clients that cannot reach the platform.
+        Names of the clients that cannot reach the platform.
     """
 
     down: bool = False
@@ -48,14 +49,18 @@
 
 @dataclass(slots=True)
 class MemoryLog:
-    """The state that all clients of one platform share.
+    """State shared by all clients of one in-memory platform.
 
     Attributes
     ----------
     retention : int
-        Records kept in each stream.
-    appends : int
-        Appends since the start.
+        Maximum number of records retained per stream.
+    listed : dict
+        State of each listed host, by data centre and host name.
+    appends, reads : int
+        Number of appends and reads since the start.
+    bytes_in, bytes_out : int
+        Bytes appended and read since the start.
     """
 
     retention: int = 100_000
@@ -69,7 +74,7 @@
     streams: dict[str, _Stream] = field(default_factory=dict)
 
     def append(self, stream: str, data: bytes) -> int:
-        """Append at once, without faults."""
+        """Append one record immediately, without faults, and return its offset."""
         log = self.streams.setdefault(stream, _Stream())
         offset = log.tail
         log.records.append(data)
@@ -81,7 +86,7 @@
         return offset
 
     def read(self, stream: str, start: int, limit: int) -> LogPage:
-        """Read at once, without faults."""
+        """Read records immediately, without faults."""
         log = self.streams.setdefault(stream, _Stream())
         if start < log.first:
             raise LogTrimmedError(log.first)
@@ -93,7 +98,7 @@
         return LogPage(log.first, log.first + low, records, log.tail)
 
     def set_listed(self, data_centre: str, name: str, state: HostState) -> None:
-        """Show a host in the list of its data centre."""
+        """Set the state of a host in the list of its data centre."""
         self.listed.setdefault(data_centre, {})[name] = state
         self.list_version += 1
 
@@ -106,14 +111,14 @@
 
 
 class MemoryPlatform(Platform):
-    """One client's view of a ``MemoryLog``.
+    """One client of a ``MemoryLog``.
 
     Parameters
     ----------
     log : MemoryLog
         The shared state.
     client : str
-        Name by which faults cut this client off.
+        Name of this client in ``PlatformFaults.cut``.
     """
 
     def __init__(self, log: MemoryLog, client: str = "") -> None:
@@ -122,30 +127,33 @@
 
     async def append(self, stream: str, data: bytes) -> int:
         """Append one record; see the base class."""
-        await self._reach("platform.append")
-        if len(data) > MAX_RECORD:
-            raise PlatformError("record too large", step="platform.append")
+        await self._apply_faults("platform.append")
+        if len(data) > MAX_RECORD_BYTES:
+            raise PlatformError(
+                f"record has {len(data)} bytes, allowed are {MAX_RECORD_BYTES}",
+                step="platform.append",
+            )
         offset = self.log.append(stream, data)
         if self.log.faults.lose_answers > 0:
             self.log.faults.lose_answers -= 1
-            raise PlatformError("answer lost", step="platform.append")
+            raise PlatformError("reply lost", step="platform.append")
         return offset
 
     async def read(self, stream: str, start: int, limit: int) -> LogPage:
         """Read records; see the base class."""
-        await self._reach("platform.read")
+        await self._apply_faults("platform.read")
         return self.log.read(stream, start, limit)
 
     async def hosts(self, data_centre: str, known: str) -> HostList:
-        """Return the list; see the base class."""
-        await self._reach("platform.hosts")
+        """Return the host list; see the base class."""
+        await self._apply_faults("platform.hosts")
         version = str(self.log.list_version)
         if version == known:
             return HostList(version, None)
         listed = self.log.listed.get(data_centre, {})
         return HostList(version, [ListedHost(n, state) for n, state in listed.items()])
 
-    async def _reach(self, step: str) -> None:
+    async def _apply_faults(self, step: str) -> None:
         faults = self.log.faults
         if faults.delay:
             await asyncio.sleep(faults.delay)
--- a/siskinroad/upstreams.py
+++ b/siskinroad/upstreams.py
@@ -1,4 +1,4 @@
-"""What upstream hosts give: requests, tasks under leases, lagging usage."""
+"""Interface to upstream hosts: requests, tasks under leases and measured usage."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class TaskState(StrEnum):
-    """State of a task on its worker."""
+    """State of a task on its host."""
 
     RUNNING = "running"
     DONE = "done"
@@ -32,7 +32,7 @@
 
 
 class Control(StrEnum):
-    """What an owner may ask of a running task."""
+    """Control actions that an owner can apply to a running task."""
 
     STOP = "stop"
     CHECKPOINT = "checkpoint"
@@ -41,17 +41,17 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """Measured use of one task, with the worker's lag."""
+    """Measured resource usage of one task; it lags behind the actual usage."""
 
     cpu_milli: int = 0
     memory_mib: int = 0
 
 
 class TaskStart(msgspec.Struct, frozen=True):
-    """Start of one task's attempt.
+    """Request to start one attempt of a task.
 
-    ``lease`` is in seconds: the worker stops the task when no inventory has
-    been asked of it for so long.
+    ``lease`` is in seconds: the host stops the task if its lease has not been renewed
+    by an inventory request for that long.
     """
 
     task: str
@@ -65,7 +65,7 @@
 
 
 class TaskReport(msgspec.Struct, frozen=True):
-    """One task in a worker's inventory; ended ones stay until acknowledged."""
+    """One task in a host's inventory; ended tasks stay until acknowledged."""
 
     task: str
     attempt: str
@@ -76,7 +76,7 @@
 
 
 class Inventory(msgspec.Struct, frozen=True):
-    """Everything that a worker knows of its tasks."""
+    """All tasks known to a host, and its number of running requests."""
 
     tasks: list[TaskReport]
     requests: int = 0
@@ -84,7 +84,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True):
-    """A whole answer of an upstream to one request."""
+    """Complete response of an upstream to one request."""
 
     status: int
     body: bytes
@@ -92,21 +92,22 @@
 
 
 class Upstreams(ABC):
-    """The workers as their owner sees them.
+    """Base class of an owner's clients of upstream hosts.
 
     Every method may raise ``NotSentError`` (nothing reached the host),
-    ``OutcomeUnknownError`` (it may have taken effect) or ``StaleEpochError``.
+    ``OutcomeUnknownError`` (the call may have taken effect) or ``StaleEpochError``
+    (the host has seen the higher epoch of another owner).
     """
 
     @abstractmethod
     async def request(
         self, host: Host, attempt: str, epoch: int, path: str, body: bytes, limit: float
     ) -> Answer:
-        """Send one request and return its whole answer within ``limit`` seconds."""
+        """Send one request and return its response within ``limit`` seconds."""
 
     @abstractmethod
     async def start(self, host: Host, epoch: int, start: TaskStart) -> None:
-        """Start a task; starting the same attempt again changes nothing."""
+        """Start a task; starting the same attempt again has no effect."""
 
     @abstractmethod
     async def control(self, host: Host, epoch: int, attempt: str, do: Control) -> None:
@@ -116,17 +117,19 @@
     async def inventory(
         self, host: Host, epoch: int, acked: list[str], wait: float, renew: bool
     ) -> Inventory:
-        """Return all tasks and forget the ``acked`` ended ones.
+        """Return all tasks of a host and let it forget acknowledged ones.
 
         Parameters
         ----------
+        acked : list of str
+            Attempts of ended tasks whose end the owner has recorded.
         wait : float
-            The worker answers when a task ends, at the latest after so many
-            seconds.
+            Longest time, in seconds, for which the host may delay its reply until a
+            task ends.
         renew : bool
-            Renew the leases of the tasks that run.
+            Whether to renew the leases of the host's tasks.
         """
 
     async def close(self) -> None:
-        """Release connections."""
+        """Close all connections."""
         return None
--- a/siskinroad/upstreams_http.py
+++ b/siskinroad/upstreams_http.py
@@ -1,4 +1,4 @@
-"""Workers over HTTP, as ``docs/PLATFORM.md`` states it."""
+"""HTTP client of upstream hosts; ``docs/PLATFORM.md`` specifies the protocol."""
 
 from __future__ import annotations
 
@@ -26,9 +26,12 @@
 EPOCH_HEADER = "siskinroad-epoch"
 OUTCOME_HEADER = "siskinroad-outcome"
 NOT_RUN = "not run"
-CONTROL_TIME = 2.0
-STALE = 412
-OK = 200
+# Time limit, in seconds, of a start or control call, and of an inventory call beyond
+# the time that the host may wait for a task to end.
+CONTROL_TIMEOUT = 2.0
+# Sent with the epoch header: the host has seen a higher epoch.
+STATUS_STALE_EPOCH = 412
+STATUS_OK = 200
 
 
 class InventoryQuery(msgspec.Struct, frozen=True):
@@ -40,7 +43,7 @@
 
 
 class HttpUpstreams(Upstreams):
-    """A client of every worker of the cell."""
+    """Client of all upstream hosts of the cell."""
 
     def __init__(self) -> None:
         self.pool = HttpPool()
@@ -49,13 +52,17 @@
         self, host: Host, attempt: str, epoch: int, path: str, body: bytes, limit: float
     ) -> Answer:
         """Send one request; see the base class."""
-        answer = await self._ask(host, epoch, "POST", path, body, limit, attempt)
+        answer = await self._send_request(
+            host, epoch, "POST", path, body, limit, attempt
+        )
         if answer.headers.get(OUTCOME_HEADER) == NOT_RUN:
             raise Refusal(Reason.UPSTREAM_FAILED, step="upstream", peer=host.name)
         echoed = answer.headers.get(ATTEMPT_HEADER, attempt)
         if echoed != attempt:
             raise OutcomeUnknownError(
-                f"answer to {echoed}", step="upstream", peer=host.name
+                f"expected the response to attempt {attempt}, got that to {echoed}",
+                step="upstream",
+                peer=host.name,
             )
         kind = answer.headers.get("content-type", "application/octet-stream")
         return Answer(answer.status, answer.body, kind)
@@ -63,36 +70,42 @@
     async def start(self, host: Host, epoch: int, start: TaskStart) -> None:
         """Start a task; see the base class."""
         body = msgspec.json.encode(start)
-        answer = await self._ask(host, epoch, "PUT", "/tasks", body, CONTROL_TIME)
+        answer = await self._send_request(
+            host, epoch, "PUT", "/tasks", body, CONTROL_TIMEOUT
+        )
         _expect_ok(answer, host)
 
     async def control(self, host: Host, epoch: int, attempt: str, do: Control) -> None:
         """Control a task; see the base class."""
         target = f"/control/{do.value}"
         body = attempt.encode()
-        answer = await self._ask(host, epoch, "POST", target, body, CONTROL_TIME)
+        answer = await self._send_request(
+            host, epoch, "POST", target, body, CONTROL_TIMEOUT
+        )
         _expect_ok(answer, host)
 
     async def inventory(
         self, host: Host, epoch: int, acked: list[str], wait: float, renew: bool
     ) -> Inventory:
-        """Report all tasks; see the base class."""
+        """Return all tasks of a host; see the base class."""
         body = msgspec.json.encode(InventoryQuery(acked, wait, renew))
-        limit = wait + CONTROL_TIME
-        answer = await self._ask(host, epoch, "POST", "/inventory", body, limit)
+        limit = wait + CONTROL_TIMEOUT
+        answer = await self._send_request(
+            host, epoch, "POST", "/inventory", body, limit
+        )
         _expect_ok(answer, host)
         try:
             return msgspec.json.decode(answer.body, type=Inventory)
         except msgspec.MsgspecError as exc:
             raise OutcomeUnknownError(
-                f"inventory: {exc}", step="inventory", peer=host.name
+                f"inventory cannot be decoded: {exc}", step="inventory", peer=host.name
             ) from exc
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         self.pool.close()
 
-    async def _ask(
+    async def _send_request(
         self,
         host: Host,
         epoch: int,
@@ -113,13 +126,19 @@
             headers=tuple(headers),
             limit=limit,
         )
-        if answer.status == STALE and EPOCH_HEADER in answer.headers:
-            raise StaleEpochError("lower epoch", step=target, peer=host.name)
+        if answer.status == STATUS_STALE_EPOCH and EPOCH_HEADER in answer.headers:
+            raise StaleEpochError(
+                f"host has seen a higher epoch than {epoch}",
+                step=target,
+                peer=host.name,
+            )
         return answer
 
 
 def _expect_ok(answer: HttpAnswer, host: Host) -> None:
-    if answer.status != OK:
+    if answer.status != STATUS_OK:
         raise OutcomeUnknownError(
-            f"status {answer.status}", step="upstream", peer=host.name
+            f"expected status {STATUS_OK}, got {answer.status}",
+            step="upstream",
+            peer=host.name,
         )
