--- a/siskinroad/cluster.py
+++ b/siskinroad/cluster.py
@@ -1,4 +1,4 @@
-"""Daemons and stand-ins over loopback in one process, for demos and benches."""
+"""Cluster of daemons, platform and hosts in one process, for demos and benchmarks."""
 
 from __future__ import annotations
 
@@ -16,35 +16,43 @@
 
 __all__ = ["Cluster", "free_addresses"]
 
-Duration = Callable[[str, random.Random], float]
+DurationSampler = Callable[[str, random.Random], float]
 
 
 def free_addresses(count: int) -> list[str]:
-    """Return loopback addresses with ports that were free just now."""
-    socks = [socket.socket() for _ in range(count)]
-    for sock in socks:
+    """Return loopback addresses whose ports were free at the time of the call."""
+    sockets = [socket.socket() for _ in range(count)]
+    for sock in sockets:
         sock.bind(("127.0.0.1", 0))
-    addresses = [f"127.0.0.1:{sock.getsockname()[1]}" for sock in socks]
-    for sock in socks:
+    addresses = [f"127.0.0.1:{sock.getsockname()[1]}" for sock in sockets]
+    for sock in sockets:
         sock.close()
     return addresses
 
 
 class Cluster:
-    """A cell with its stand-ins and two daemons in each data centre.
+    """Daemons of a cell with an in-memory platform and in-memory upstream hosts.
+
+    All of them communicate over loopback connections.
 
     Parameters
     ----------
     text : str
-        A cell file; the hosts' addresses are replaced by those of stand-ins.
+        Text of a cell file; the hosts' addresses are replaced by loopback ones.
     duration : callable
         Returns the seconds that a request or task of a workload takes.
-    per_centre : int
-        Daemons in each data centre.
+    seed : int
+        Seed of all random generators.
+    daemons_per_data_centre : int
+        Number of daemons in each data centre.
     """
 
     def __init__(
-        self, text: str, duration: Duration, seed: int, per_centre: int = 2
+        self,
+        text: str,
+        duration: DurationSampler,
+        seed: int,
+        daemons_per_data_centre: int = 2,
     ) -> None:
         self.cell: Cell = parse_cell(text)
         self.text = text
@@ -55,17 +63,17 @@
         self.servers: list[WorkerServer] = []
         self.nodes: list[Node] = []
         self._duration = duration
-        self._per_centre = per_centre
+        self._daemons_per_data_centre = daemons_per_data_centre
 
     async def open(self) -> None:
-        """Start everything and put the cell in force."""
+        """Start the platform, hosts and daemons, and apply the cell file."""
         platform = await self.platform.http.listen("127.0.0.1:0")
         for host in self.cell.hosts():
-            await self._open_worker(host)
-        peers = self._peers()
+            await self._start_host(host)
+        peers = self._assign_peers()
         addresses = iter(free_addresses(2 * len(peers)))
-        for number, peer in enumerate(peers):
-            others = tuple(x for x in peers if x is not peer)
+        for index, peer in enumerate(peers):
+            others = tuple(other for other in peers if other is not peer)
             cfg = Settings(
                 peer.name,
                 peer.data_centre,
@@ -76,32 +84,34 @@
                 platform,
                 others,
             )
-            rng = random.Random(self.seed + number)
+            rng = random.Random(self.seed + index)
             node = Node(cfg, 1, rng)
             await node.open()
             self.nodes.append(node)
         await self._publish()
 
-    async def _open_worker(self, host: Host) -> None:
+    async def _start_host(self, host: Host) -> None:
         capacity = self.cell.pools[host.pool].capacity
         rng = random.Random(f"{self.seed}{host.name}")
-        worker = MemoryWorker(host.name, capacity, rng, duration=self._duration)
-        server = WorkerServer(worker, host)
+        memory_host = MemoryWorker(host.name, capacity, rng, duration=self._duration)
+        server = WorkerServer(memory_host, host)
         address = await server.http.listen("127.0.0.1:0")
         self.text = self.text.replace(f'"{host.address}"', f'"{address}"')
-        self.workers[host.name] = worker
+        self.workers[host.name] = memory_host
         self.servers.append(server)
 
-    def _peers(self) -> list[Peer]:
+    def _assign_peers(self) -> list[Peer]:
         names = [
-            (f"{centre}{chr(97 + i)}", centre, region)
-            for centre, region in sorted(self.cell.regions.items())
-            for i in range(self._per_centre)
+            (f"{data_centre}{chr(97 + i)}", data_centre, region)
+            for data_centre, region in sorted(self.cell.regions.items())
+            for i in range(self._daemons_per_data_centre)
         ]
         addresses = free_addresses(len(names))
         return [
-            Peer(name, address, centre, region)
-            for (name, centre, region), address in zip(names, addresses, strict=True)
+            Peer(name, address, data_centre, region)
+            for (name, data_centre, region), address in zip(
+                names, addresses, strict=True
+            )
         ]
 
     async def _publish(self) -> None:
@@ -109,26 +119,32 @@
         await self.nodes[0].daemon.publisher.apply(self.text, None)
 
     async def owned(self, within: float = 15.0) -> bool:
-        """Wait until every shard has an owner; return whether it has."""
+        """Wait up to ``within`` seconds until every shard has an owner.
+
+        Returns
+        -------
+        bool
+            Whether every shard has one.
+        """
         loop = asyncio.get_running_loop()
-        until = loop.time() + within
-        wanted = {host.shard for host in self.cell.hosts()}
-        while loop.time() < until:
-            found: set[str] = set()
+        deadline = loop.time() + within
+        all_shards = {host.shard for host in self.cell.hosts()}
+        while loop.time() < deadline:
+            owned_shards: set[str] = set()
             for node in self.nodes:
-                found |= {news.shard for news in node.daemon.shards.news()}
-            if found == wanted:
+                owned_shards |= {update.shard for update in node.daemon.shards.news()}
+            if owned_shards == all_shards:
                 return True
             await asyncio.sleep(0.1)
         return False
 
     @property
     def callers(self) -> list[str]:
-        """The callers' addresses of all daemons."""
+        """Addresses at which the daemons accept callers."""
         return [node.callers for node in self.nodes]
 
     async def close(self) -> None:
-        """Stop everything."""
+        """Stop the daemons, hosts and platform."""
         for node in self.nodes:
             await node.close()
         for server in self.servers:
--- a/siskinroad/platform_http.py
+++ b/siskinroad/platform_http.py
@@ -78,7 +78,7 @@
             ) from exc
         if answer.status not in (STATUS_OK, STATUS_TRIMMED):
             raise PlatformError(
-                f"expected status {STATUS_OK} or {STATUS_TRIMMED}, got {answer.status}",
+                f"expected status 200 or 410, got {answer.status}",
                 step=f"platform.{step}",
                 peer=self.address,
             )
--- a/siskinroad/platform_memory.py
+++ b/siskinroad/platform_memory.py
@@ -130,7 +130,7 @@
         await self._apply_faults("platform.append")
         if len(data) > MAX_RECORD_BYTES:
             raise PlatformError(
-                f"record has {len(data)} bytes, allowed are {MAX_RECORD_BYTES}",
+                "record is larger than the limit of 1 MiB",
                 step="platform.append",
             )
         offset = self.log.append(stream, data)
--- a/siskinroad/stand_ins.py
+++ b/siskinroad/stand_ins.py
@@ -1,4 +1,4 @@
-"""HTTP servers around the in-memory platform and workers, for tests and demos."""
+"""HTTP servers for the in-memory platform and hosts, for tests and demos."""
 
 from __future__ import annotations
 
@@ -19,11 +19,12 @@
 
 __all__ = ["PlatformServer", "WorkerServer"]
 
-LIMIT = 3600.0
+# Seconds; long enough that the caller's own time limit ends a request first.
+REQUEST_TIMEOUT = 3600.0
 
 
 class PlatformServer:
-    """The platform's HTTP service over a ``MemoryLog``."""
+    """HTTP server for the platform of a ``MemoryLog``."""
 
     def __init__(self, log: MemoryLog) -> None:
         self.log = log
@@ -31,7 +32,7 @@
         self.http = HttpServer(self.handle)
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Handle one HTTP request."""
         try:
             return await self._route(req)
         except LogTrimmedError as exc:
@@ -57,21 +58,21 @@
 
 
 class WorkerServer:
-    """One worker's HTTP service over a ``MemoryWorker``."""
+    """HTTP server for one ``MemoryWorker``."""
 
-    def __init__(self, worker: MemoryWorker, host: Host) -> None:
-        self.worker = worker
+    def __init__(self, memory_host: MemoryWorker, host: Host) -> None:
+        self.memory_host = memory_host
         self.host = host
-        self.memory = MemoryUpstreams({host.name: worker}, delay=0.0)
+        self.memory = MemoryUpstreams({host.name: memory_host}, delay=0.0)
         self.http = HttpServer(self.handle)
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
-        """Answer one request."""
+        """Handle one HTTP request."""
         epoch = int(req.headers.get(EPOCH_HEADER, "0"))
         try:
             return await self._route(req, epoch)
         except StaleEpochError:
-            header = ((EPOCH_HEADER, str(self.worker.epoch)),)
+            header = ((EPOCH_HEADER, str(self.memory_host.epoch)),)
             return HttpResponse(412, headers=header)
         except SiskinroadError as exc:
             return HttpResponse(503, str(exc).encode(), "text/plain", close=True)
@@ -92,12 +93,12 @@
                 do = Control(path.rpartition("/")[2])
                 await self.memory.control(self.host, epoch, req.body.decode(), do)
                 return HttpResponse(200)
-        return await self._request(req, epoch)
+        return await self._forward_request(req, epoch)
 
-    async def _request(self, req: HttpRequest, epoch: int) -> HttpResponse:
+    async def _forward_request(self, req: HttpRequest, epoch: int) -> HttpResponse:
         attempt = req.headers.get(ATTEMPT_HEADER, "")
         answer = await self.memory.request(
-            self.host, attempt, epoch, req.path, req.body, LIMIT
+            self.host, attempt, epoch, req.path, req.body, REQUEST_TIMEOUT
         )
         header = ((ATTEMPT_HEADER, attempt),)
         return HttpResponse(answer.status, answer.body, answer.content_type, header)
--- a/siskinroad/upstreams_http.py
+++ b/siskinroad/upstreams_http.py
@@ -60,7 +60,7 @@
         echoed = answer.headers.get(ATTEMPT_HEADER, attempt)
         if echoed != attempt:
             raise OutcomeUnknownError(
-                f"expected the response to attempt {attempt}, got that to {echoed}",
+                f"got the response to another attempt: {echoed}",
                 step="upstream",
                 peer=host.name,
             )
@@ -128,7 +128,7 @@
         )
         if answer.status == STATUS_STALE_EPOCH and EPOCH_HEADER in answer.headers:
             raise StaleEpochError(
-                f"host has seen a higher epoch than {epoch}",
+                "host has seen a higher epoch",
                 step=target,
                 peer=host.name,
             )
@@ -138,7 +138,7 @@
 def _expect_ok(answer: HttpAnswer, host: Host) -> None:
     if answer.status != STATUS_OK:
         raise OutcomeUnknownError(
-            f"expected status {STATUS_OK}, got {answer.status}",
+            f"expected status 200, got {answer.status}",
             step="upstream",
             peer=host.name,
         )
--- a/siskinroad/upstreams_memory.py
+++ b/siskinroad/upstreams_memory.py
@@ -1,4 +1,4 @@
-"""In-memory workers, with faults on request; they note all that they ran."""
+"""In-memory upstream hosts with fault injection and a record of all they ran."""
 
 from __future__ import annotations
 
@@ -22,25 +22,27 @@
     Usage,
 )
 
-__all__ = ["Event", "MemoryUpstreams", "MemoryWorker", "WorkerFaults"]
+__all__ = ["Event", "HostFaults", "MemoryUpstreams", "MemoryWorker"]
 
-SWEEP_TIME = 0.25
+# Longest interval, in seconds, between two checks for due tasks and expired leases
+# while an inventory call waits.
+SWEEP_INTERVAL = 0.25
 
 
 @dataclass(slots=True)
-class WorkerFaults:
-    """Faults of one worker.
+class HostFaults:
+    """Faults injected into one host.
 
     Attributes
     ----------
     down : bool
         Connections are refused.
     silent : bool
-        Nothing arrives and nothing is answered.
+        Calls neither arrive nor get a reply.
     mute : bool
-        What is asked takes effect, but no answer leaves.
+        Calls take effect but get no reply.
     failing : bool
-        Every task and request fails at once.
+        Every task and request fails immediately.
     """
 
     down: bool = False
@@ -51,10 +53,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Event:
-    """One thing that a worker did: ``start`` or ``end`` of a task or request.
+    """Start or end of a task or request on a host.
 
-    ``body`` is a request's, and empty for a task; ``number`` orders the events
-    of workers that share a sequence.
+    ``kind`` is ``start`` or ``end:STATE``. ``body`` is the body of a request, and empty
+    for a task. ``number`` orders the events of hosts that share a sequence.
     """
 
     time: float
@@ -71,36 +73,42 @@
 class _Task:
     start: TaskStart
     state: TaskState
-    began: float
-    ends: float
-    lease_until: float
+    started_at: float
+    ends_at: float
+    lease_expires_at: float
     used: Resources
-    throttled: bool = False
+    is_throttled: bool = False
 
 
-Duration = Callable[[str, random.Random], float]
-Demand = Callable[[str], Resources]
+DurationSampler = Callable[[str, random.Random], float]
+DemandFunction = Callable[[str], Resources]
 
 
 @dataclass(slots=True)
 class MemoryWorker:
-    """One worker.
+    """One in-memory host.
 
     Attributes
     ----------
     fencing : bool
-        Refuse calls with an epoch lower than the highest seen.
+        Whether calls with an epoch lower than the highest seen are refused.
+    duration : callable
+        Returns the seconds that a task or request of a workload takes.
+    demand : callable
+        Returns the resources that a request of a workload uses.
     events : list of Event
-        Everything that it ran, for checks of the invariants.
+        Starts and ends of all tasks and requests, for checks of the invariants.
+    sequence : iterator of int
+        Source of event numbers; hosts may share one.
     """
 
     name: str
     capacity: Resources
     rng: random.Random
     fencing: bool = True
-    duration: Duration = lambda workload, rng: 1.0
-    demand: Demand = lambda workload: Resources(0, 0, 0, 1)
-    faults: WorkerFaults = field(default_factory=WorkerFaults)
+    duration: DurationSampler = lambda workload, rng: 1.0
+    demand: DemandFunction = lambda workload: Resources(0, 0, 0, 1)
+    faults: HostFaults = field(default_factory=HostFaults)
     events: list[Event] = field(default_factory=list)
     sequence: Iterator[int] = field(default_factory=itertools.count)
     epoch: int = 0
@@ -109,13 +117,15 @@
     tasks: dict[str, _Task] = field(default_factory=dict)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def check(self, epoch: int) -> None:
-        """Refuse an epoch that another owner has superseded."""
+    def check_epoch(self, epoch: int) -> None:
+        """Refuse a call with an epoch that a newer owner has superseded."""
         if self.fencing and epoch < self.epoch:
-            raise StaleEpochError("lower epoch", step="worker", peer=self.name)
+            raise StaleEpochError(
+                "host has seen a higher epoch", step="worker", peer=self.name
+            )
         self.epoch = max(self.epoch, epoch)
 
-    def note(
+    def record_event(
         self,
         kind: str,
         task: str,
@@ -124,47 +134,49 @@
         now: float,
         body: bytes = b"",
     ) -> None:
-        """Note one event."""
+        """Append one event to the record."""
         number = next(self.sequence)
         self.events.append(
             Event(now, self.name, kind, task, attempt, used, body, number)
         )
 
-    def begin(self, start: TaskStart, now: float) -> None:
-        """Start a task; the same attempt again changes nothing."""
+    def start_task(self, start: TaskStart, now: float) -> None:
+        """Start a task; starting the same attempt again has no effect."""
         if start.attempt in self.tasks:
             return
-        seconds = self.duration(start.workload, self.rng)
+        duration_s = self.duration(start.workload, self.rng)
         used = Resources(start.cpu_milli, start.memory_mib, start.accelerators, 1)
         state = TaskState.RUNNING
         lease = now + start.lease
-        task = _Task(start, state, now, now + seconds, lease, used)
+        task = _Task(start, state, now, now + duration_s, lease, used)
         if self.faults.failing:
-            task.ends = now
+            task.ends_at = now
         self.tasks[start.attempt] = task
-        self.note("start", start.task, start.attempt, used, now)
+        self.record_event("start", start.task, start.attempt, used, now)
 
-    def sweep(self, now: float) -> None:
-        """End the tasks whose time has come or whose lease has lapsed."""
+    def end_due_tasks(self, now: float) -> None:
+        """End the running tasks that are due or whose lease has expired."""
         for task in self.tasks.values():
             if task.state is not TaskState.RUNNING:
                 continue
-            if now >= task.lease_until:
-                self.end(task, TaskState.STOPPED, now)
-            elif now >= task.ends:
+            if now >= task.lease_expires_at:
+                self.end_task(task, TaskState.STOPPED, now)
+            elif now >= task.ends_at:
                 failing = self.faults.failing
-                self.end(task, TaskState.FAILED if failing else TaskState.DONE, now)
+                self.end_task(
+                    task, TaskState.FAILED if failing else TaskState.DONE, now
+                )
 
-    def end(self, task: _Task, state: TaskState, now: float) -> None:
-        """End one task."""
+    def end_task(self, task: _Task, state: TaskState, now: float) -> None:
+        """End one task with a state and wake the waiting inventory calls."""
         task.state = state
         start = task.start
-        self.note(f"end:{state}", start.task, start.attempt, task.used, now)
+        self.record_event(f"end:{state}", start.task, start.attempt, task.used, now)
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def report(self, now: float) -> list[TaskReport]:
-        """Return the inventory's entries."""
+    def report_tasks(self, now: float) -> list[TaskReport]:
+        """Return an inventory entry for each task."""
         return [
             TaskReport(
                 task.start.task,
@@ -172,42 +184,48 @@
                 task.start.workload,
                 task.state,
                 Usage(task.used.cpu_milli, task.used.memory_mib),
-                min(now, task.ends) - task.began,
+                min(now, task.ends_at) - task.started_at,
             )
             for attempt, task in self.tasks.items()
         ]
 
     def crash(self, now: float) -> None:
-        """Lose everything, as when the host fails or is restarted."""
+        """Fail all running tasks and forget all tasks, as in a crash or restart."""
         for task in self.tasks.values():
             if task.state is TaskState.RUNNING:
-                self.end(task, TaskState.FAILED, now)
+                self.end_task(task, TaskState.FAILED, now)
         self.tasks.clear()
 
 
 class MemoryUpstreams(Upstreams):
-    """Workers of one process, by host name.
+    """Client of in-memory hosts in the same process.
 
     Parameters
     ----------
+    memory_hosts : dict
+        The hosts, by name.
     client : str
-        Name of the daemon; ``cut`` names pairs (daemon, host) without a path.
+        Name of the calling daemon.
+    cut : set of tuple
+        Pairs (daemon, host) between which no call or reply is delivered.
+    delay : float
+        One-way delay of a call or reply, in seconds.
 
     Attributes
     ----------
     held : asyncio.Event or None
-        While it is set here and not done, calls are held on their way.
+        If not None, calls are delivered only once this event is set.
     """
 
     def __init__(
         self,
-        workers: dict[str, MemoryWorker],
+        memory_hosts: dict[str, MemoryWorker],
         client: str = "",
         cut: set[tuple[str, str]] | None = None,
         delay: float = 0.0005,
     ) -> None:
         self.held: asyncio.Event | None = None
-        self.workers = workers
+        self.memory_hosts = memory_hosts
         self.client = client
         self.cut = cut if cut is not None else set()
         self.delay = delay
@@ -216,104 +234,112 @@
         self, host: Host, attempt: str, epoch: int, path: str, body: bytes, limit: float
     ) -> Answer:
         """Run a request; see the base class."""
-        async with _unknown_after(limit, host):
-            worker = await self._reach(host)
-            worker.check(epoch)
+        async with _OutcomeUnknownAfter(limit, host):
+            memory_host = await self._deliver_call(host)
+            memory_host.check_epoch(epoch)
             workload = path.split("/")[1]
-            used = worker.demand(workload)
+            used = memory_host.demand(workload)
             loop = asyncio.get_running_loop()
             task = attempt.partition("#")[0]
-            worker.requests += 1
-            worker.note("start", task, attempt, used, loop.time(), body)
-            failing = worker.faults.failing
+            memory_host.requests += 1
+            memory_host.record_event("start", task, attempt, used, loop.time(), body)
+            failing = memory_host.faults.failing
             try:
                 if not failing:
-                    await asyncio.sleep(worker.duration(workload, worker.rng))
+                    await asyncio.sleep(memory_host.duration(workload, memory_host.rng))
             finally:
-                worker.requests -= 1
-                worker.note("end:done", task, attempt, used, loop.time(), body)
-            await self._answer(worker, host)
+                memory_host.requests -= 1
+                memory_host.record_event(
+                    "end:done", task, attempt, used, loop.time(), body
+                )
+            await self._deliver_reply(memory_host, host)
             return Answer(500, b"failed") if failing else Answer(200, body)
 
     async def start(self, host: Host, epoch: int, start: TaskStart) -> None:
         """Start a task; see the base class."""
-        async with _unknown_after(2.0, host):
-            worker = await self._reach(host)
-            worker.check(epoch)
-            worker.begin(start, asyncio.get_running_loop().time())
-            await self._answer(worker, host)
+        async with _OutcomeUnknownAfter(2.0, host):
+            memory_host = await self._deliver_call(host)
+            memory_host.check_epoch(epoch)
+            memory_host.start_task(start, asyncio.get_running_loop().time())
+            await self._deliver_reply(memory_host, host)
 
     async def control(self, host: Host, epoch: int, attempt: str, do: Control) -> None:
         """Control a task; see the base class."""
-        async with _unknown_after(2.0, host):
-            worker = await self._reach(host)
-            worker.check(epoch)
+        async with _OutcomeUnknownAfter(2.0, host):
+            memory_host = await self._deliver_call(host)
+            memory_host.check_epoch(epoch)
             now = asyncio.get_running_loop().time()
-            worker.sweep(now)
-            task = worker.tasks.get(attempt)
+            memory_host.end_due_tasks(now)
+            task = memory_host.tasks.get(attempt)
             if task is not None and task.state is TaskState.RUNNING:
-                _control(worker, task, do, now)
-            await self._answer(worker, host)
+                _apply_control(memory_host, task, do, now)
+            await self._deliver_reply(memory_host, host)
 
     async def inventory(
         self, host: Host, epoch: int, acked: list[str], wait: float, renew: bool
     ) -> Inventory:
-        """Report all tasks; see the base class."""
-        async with _unknown_after(wait + 1.0, host):
-            worker = await self._reach(host)
-            worker.check(epoch)
+        """Return all tasks of a host; see the base class."""
+        async with _OutcomeUnknownAfter(wait + 1.0, host):
+            memory_host = await self._deliver_call(host)
+            memory_host.check_epoch(epoch)
             loop = asyncio.get_running_loop()
             for attempt in acked:
-                worker.tasks.pop(attempt, None)
-            worker.sweep(loop.time())
+                memory_host.tasks.pop(attempt, None)
+            memory_host.end_due_tasks(loop.time())
             if renew:
-                self._renew(worker, loop.time())
-            await self._await_change(worker, loop.time() + wait)
-            await self._answer(worker, host)
-            tasks = worker.report(loop.time())
-            return Inventory(tasks, worker.requests, worker.leaving)
-
-    def _renew(self, worker: MemoryWorker, now: float) -> None:
-        for task in worker.tasks.values():
-            task.lease_until = now + task.start.lease
-
-    async def _await_change(self, worker: MemoryWorker, until: float) -> None:
+                self._renew_leases(memory_host, loop.time())
+            await self._wait_for_task_end(memory_host, loop.time() + wait)
+            await self._deliver_reply(memory_host, host)
+            tasks = memory_host.report_tasks(loop.time())
+            return Inventory(tasks, memory_host.requests, memory_host.leaving)
+
+    def _renew_leases(self, memory_host: MemoryWorker, now: float) -> None:
+        for task in memory_host.tasks.values():
+            task.lease_expires_at = now + task.start.lease
+
+    async def _wait_for_task_end(
+        self, memory_host: MemoryWorker, deadline: float
+    ) -> None:
         loop = asyncio.get_running_loop()
-        while loop.time() < until and not worker.faults.down:
-            if any(t.state is not TaskState.RUNNING for t in worker.tasks.values()):
+        while loop.time() < deadline and not memory_host.faults.down:
+            if any(
+                t.state is not TaskState.RUNNING for t in memory_host.tasks.values()
+            ):
                 return
-            running = [t.ends for t in worker.tasks.values()]
-            next_end = min([*running, until])
-            pause = min(max(next_end - loop.time(), 0.001), SWEEP_TIME)
+            running = [t.ends_at for t in memory_host.tasks.values()]
+            next_end = min([*running, deadline])
+            pause = min(max(next_end - loop.time(), 0.001), SWEEP_INTERVAL)
             try:
                 async with asyncio.timeout(pause):
-                    await worker.changed.wait()
+                    await memory_host.changed.wait()
             except TimeoutError:
                 pass
-            worker.sweep(loop.time())
+            memory_host.end_due_tasks(loop.time())
 
-    async def _reach(self, host: Host) -> MemoryWorker:
-        worker = self.workers.get(host.name)
+    async def _deliver_call(self, host: Host) -> MemoryWorker:
+        memory_host = self.memory_hosts.get(host.name)
         await asyncio.sleep(self.delay)
         if self.held is not None:
             await asyncio.shield(self.held.wait())
-        if worker is None or worker.faults.down:
+        if memory_host is None or memory_host.faults.down:
             raise NotSentError("connection refused", step="worker", peer=host.name)
-        if worker.faults.silent or (self.client, host.name) in self.cut:
+        if memory_host.faults.silent or (self.client, host.name) in self.cut:
             await asyncio.Event().wait()
-        return worker
+        return memory_host
 
-    async def _answer(self, worker: MemoryWorker, host: Host) -> None:
+    async def _deliver_reply(self, memory_host: MemoryWorker, host: Host) -> None:
         await asyncio.sleep(self.delay)
-        if worker.faults.down:
-            raise OutcomeUnknownError("reset", step="worker", peer=host.name)
+        if memory_host.faults.down:
+            raise OutcomeUnknownError(
+                "connection reset before the reply", step="worker", peer=host.name
+            )
         cut = (self.client, host.name) in self.cut
-        if worker.faults.silent or worker.faults.mute or cut:
+        if memory_host.faults.silent or memory_host.faults.mute or cut:
             await asyncio.Event().wait()
 
 
-class _unknown_after:  # noqa: N801
-    """Turn a timeout into ``OutcomeUnknownError``."""
+class _OutcomeUnknownAfter:
+    """Context manager that raises ``OutcomeUnknownError`` after ``limit`` seconds."""
 
     def __init__(self, limit: float, host: Host) -> None:
         self._timeout = asyncio.timeout(limit)
@@ -327,19 +353,21 @@
             await self._timeout.__aexit__(*details)  # type: ignore[arg-type]
         except TimeoutError:
             raise OutcomeUnknownError(
-                "no answer", step="worker", peer=self._host.name
+                "no reply within the time limit", step="worker", peer=self._host.name
             ) from None
 
 
-def _control(worker: MemoryWorker, task: _Task, do: Control, now: float) -> None:
+def _apply_control(
+    memory_host: MemoryWorker, task: _Task, do: Control, now: float
+) -> None:
     match do:
         case Control.STOP:
-            worker.end(task, TaskState.STOPPED, now)
+            memory_host.end_task(task, TaskState.STOPPED, now)
         case Control.CHECKPOINT:
-            worker.end(task, TaskState.CHECKPOINTED, now)
-        case Control.THROTTLE if not task.throttled:
-            task.throttled = True
-            task.ends = now + 2 * (task.ends - now)
-        case Control.RESUME if task.throttled:
-            task.throttled = False
-            task.ends = now + (task.ends - now) / 2
+            memory_host.end_task(task, TaskState.CHECKPOINTED, now)
+        case Control.THROTTLE if not task.is_throttled:
+            task.is_throttled = True
+            task.ends_at = now + 2 * (task.ends_at - now)
+        case Control.RESUME if task.is_throttled:
+            task.is_throttled = False
+            task.ends_at = now + (task.ends_at - now) / 2
