--- a/siskinroad/cluster.py
+++ b/siskinroad/cluster.py
@@ -132,7 +132,7 @@
         while loop.time() < deadline:
             owned_shards: set[str] = set()
             for node in self.nodes:
-                owned_shards |= {update.shard for update in node.daemon.shards.news()}
+                owned_shards |= {news.shard for news in node.daemon.shards.news()}
             if owned_shards == all_shards:
                 return True
             await asyncio.sleep(0.1)
--- a/siskinroad/upstreams_memory.py
+++ b/siskinroad/upstreams_memory.py
@@ -330,9 +330,7 @@
     async def _deliver_reply(self, memory_host: MemoryWorker, host: Host) -> None:
         await asyncio.sleep(self.delay)
         if memory_host.faults.down:
-            raise OutcomeUnknownError(
-                "connection reset before the reply", step="worker", peer=host.name
-            )
+            raise OutcomeUnknownError("reset", step="worker", peer=host.name)
         cut = (self.client, host.name) in self.cut
         if memory_host.faults.silent or memory_host.faults.mute or cut:
             await asyncio.Event().wait()
