--- a/siskinroad/daemonview.py
+++ b/siskinroad/daemonview.py
@@ -1,4 +1,4 @@
-"""What the parts of a daemon share: its state as they see it."""
+"""Context that a daemon gives its parts."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 __all__ = ["DaemonView"]
 
 
-class Asker(Protocol):
-    """Who asks peers for what this daemon lacks."""
+class SnapshotRequester(Protocol):
+    """Sender of snapshot requests to peers."""
 
     def want_snapshot(self) -> None:
         """Ask a peer to write a snapshot of the ledger."""
 
 
 class DaemonView(Protocol):
-    """A daemon as its parts see it; ``state`` is one of the ``daemon`` chart."""
+    """State of a daemon for its parts; ``state`` is one of the ``daemon`` chart."""
 
     cfg: Settings
     incarnation: int
@@ -45,5 +45,5 @@
     cell_appender: Appender
 
     @property
-    def beats(self) -> Asker:
-        """What the daemon tells and asks others on its own."""
+    def beats(self) -> SnapshotRequester:
+        """Periodic messages of the daemon to its peers."""
--- a/siskinroad/forwarding.py
+++ b/siskinroad/forwarding.py
@@ -1,8 +1,9 @@
-"""Requests handed to the daemon that owns their shard, and its answers.
+"""Forwarding of requests to the daemon that owns their shard.
 
-A request is sent again until it is acknowledged and asked after until it is
-answered, so that a connection that has gone silent loses nothing; the receiver
-runs each one once. A peer that is silent for ``LOST_TIME`` seconds is lost.
+The sender repeats a request until it is acknowledged, then polls for its reply until
+it arrives, so that messages lost on a silent connection do no harm. The receiver runs
+each request once. A peer that acknowledges nothing for ``PEER_SILENCE_TIMEOUT``
+seconds counts as lost.
 """
 
 from __future__ import annotations
@@ -18,84 +19,98 @@
 
 __all__ = ["Forwarder", "Receiver"]
 
-RESEND_TIME = 0.4
-LOST_TIME = 1.4
+# Seconds after which a request or poll without a reply is repeated.
+RESEND_INTERVAL = 0.4
+# Seconds without an acknowledgement after which the peer counts as lost. It spans
+# several resends: a shorter time gives up after a few lost messages.
+PEER_SILENCE_TIMEOUT = 1.4
+# Seconds beyond a request's deadline for which its reply is awaited, so that the
+# owner's own refusal arrives before the forwarder's time limit.
 REPLY_MARGIN = 1.0
-KEPT_BYTES = 1 << 20
+# Bytes of replies that are kept for peers that poll again, counting
+# ``REPLY_OVERHEAD`` bytes for each. A reply that is dropped too early leaves the
+# outcome of its request unknown to the sender.
+MAX_KEPT_BYTES = 1 << 20
 REPLY_OVERHEAD = 400
-KEPT_IDS = 5000
+# Number of request ids that are remembered. A request that is repeated after its id
+# has been dropped would run twice.
+MAX_KEPT_IDS = 5000
 
 Send = Callable[[str, Message], None]
 
 
 @dataclass(slots=True)
-class _Out:
+class _PendingForward:
+    """A forwarded request that awaits its reply."""
+
     fut: asyncio.Future[Reply]
-    heard: float
+    last_ack_at: float
     acked: bool = False
 
 
 class Forwarder:
-    """Sends requests to other daemons and waits for their answers."""
+    """Sender of requests to other daemons, which waits for their replies."""
 
     def __init__(self, name: str, incarnation: int, send: Send) -> None:
         self.name = name
         self.incarnation = incarnation
         self.send = send
-        self._out: dict[str, _Out] = {}
+        self._pending: dict[str, _PendingForward] = {}
         self._sequence = 0
 
     def new_id(self) -> str:
-        """Return an id that no daemon has used."""
+        """Return a new request id, unique among daemons and their incarnations."""
         self._sequence += 1
         return f"{self.name}.{self.incarnation}.{self._sequence}"
 
     async def forward(self, peer: str, msg: Forward) -> Answer:
-        """Return the whole answer of the owner.
+        """Forward a request to the owner and return its complete answer.
 
         Raises
         ------
         Refusal
-            The owner's own, or ``PEER_LOST`` with the outcome unknown.
+            The owner's own refusal, or ``PEER_LOST`` with the outcome unknown.
         """
         loop = asyncio.get_running_loop()
-        out = _Out(loop.create_future(), loop.time())
-        self._out[msg.id] = out
+        pending = _PendingForward(loop.create_future(), loop.time())
+        self._pending[msg.id] = pending
         try:
             async with asyncio.timeout(msg.left + REPLY_MARGIN):
-                reply = await self._exchange(peer, msg, out)
+                reply = await self._exchange(peer, msg, pending)
         except TimeoutError:
-            raise _lost(peer) from None
+            raise _peer_lost_refusal(peer) from None
         finally:
-            del self._out[msg.id]
-        return _answer_of(reply, peer)
+            del self._pending[msg.id]
+        return _to_answer(reply, peer)
 
-    async def _exchange(self, peer: str, msg: Forward, out: _Out) -> Reply:
+    async def _exchange(
+        self, peer: str, msg: Forward, pending: _PendingForward
+    ) -> Reply:
         loop = asyncio.get_running_loop()
-        while not out.fut.done():
-            if loop.time() - out.heard >= LOST_TIME:
-                raise _lost(peer)
-            self.send(peer, ForwardAsk(self.name, msg.id) if out.acked else msg)
-            await asyncio.wait({out.fut}, timeout=RESEND_TIME)
-        return out.fut.result()
+        while not pending.fut.done():
+            if loop.time() - pending.last_ack_at >= PEER_SILENCE_TIMEOUT:
+                raise _peer_lost_refusal(peer)
+            self.send(peer, ForwardAsk(self.name, msg.id) if pending.acked else msg)
+            await asyncio.wait({pending.fut}, timeout=RESEND_INTERVAL)
+        return pending.fut.result()
 
     def hear_ack(self, msg: ForwardAck) -> None:
-        """Note that a request has arrived."""
-        out = self._out.get(msg.id)
-        if out is not None:
-            out.acked = True
-            out.heard = asyncio.get_running_loop().time()
+        """Record that the peer has received a request."""
+        pending = self._pending.get(msg.id)
+        if pending is not None:
+            pending.acked = True
+            pending.last_ack_at = asyncio.get_running_loop().time()
 
     def hear_reply(self, msg: Reply) -> bool:
-        """Take an answer; return False if nobody waits for it any more."""
-        out = self._out.get(msg.id)
-        if out is None or out.fut.done():
+        """Complete a pending request; return False if it is no longer pending."""
+        pending = self._pending.get(msg.id)
+        if pending is None or pending.fut.done():
             return False
-        out.fut.set_result(msg)
+        pending.fut.set_result(msg)
         return True
 
 
-def _lost(peer: str) -> Refusal:
+def _peer_lost_refusal(peer: str) -> Refusal:
     return Refusal(
         Reason.PEER_LOST,
         step="forward",
@@ -105,7 +120,7 @@
     )
 
 
-def _answer_of(reply: Reply, peer: str) -> Answer:
+def _to_answer(reply: Reply, peer: str) -> Answer:
     if not reply.reason:
         return Answer(reply.status, reply.body, reply.content_type)
     raise Refusal(
@@ -119,12 +134,12 @@
 
 
 class Receiver:
-    """Runs the requests that other daemons hand over, each once.
+    """Receiver of forwarded requests, which runs each one once.
 
     Parameters
     ----------
     run : callable
-        Carries out one forwarded request; raises ``Refusal``.
+        Runs one forwarded request and returns its answer or raises ``Refusal``.
     """
 
     def __init__(
@@ -139,34 +154,34 @@
         self.active: dict[str, asyncio.Task[None]] = {}
         self._replies: OrderedDict[str, Reply] = OrderedDict()
         self._kept_bytes = 0
-        self._seen: OrderedDict[str, None] = OrderedDict()
+        self._seen_ids: OrderedDict[str, None] = OrderedDict()
 
     def hear(self, msg: Forward) -> None:
-        """Take a request, for the first time or again."""
+        """Handle a forwarded request, which may be a repetition."""
         reply = self._replies.get(msg.id)
         if reply is not None:
             self.send(msg.name, reply)
         elif msg.id in self.active:
             self.send(msg.name, ForwardAck(msg.id))
-        elif msg.id in self._seen or msg.incarnation != self.incarnation:
-            self.send(msg.name, _reply_of(msg.id, _lost("")))
+        elif msg.id in self._seen_ids or msg.incarnation != self.incarnation:
+            self.send(msg.name, _refusal_reply(msg.id, _peer_lost_refusal("")))
         else:
-            self._begin(msg)
+            self._start(msg)
 
     def hear_ask(self, msg: ForwardAsk) -> None:
-        """Answer a peer that asks after its request."""
+        """Reply to a peer that polls for the reply to its request."""
         reply = self._replies.get(msg.id)
         if reply is not None:
             self.send(msg.name, reply)
         elif msg.id in self.active:
             self.send(msg.name, ForwardAck(msg.id))
         else:
-            self.send(msg.name, _reply_of(msg.id, _lost("")))
+            self.send(msg.name, _refusal_reply(msg.id, _peer_lost_refusal("")))
 
-    def _begin(self, msg: Forward) -> None:
-        self._seen[msg.id] = None
-        if len(self._seen) > KEPT_IDS:
-            self._seen.popitem(last=False)
+    def _start(self, msg: Forward) -> None:
+        self._seen_ids[msg.id] = None
+        if len(self._seen_ids) > MAX_KEPT_IDS:
+            self._seen_ids.popitem(last=False)
         self.send(msg.name, ForwardAck(msg.id))
         task = asyncio.get_running_loop().create_task(self._serve(msg))
         self.active[msg.id] = task
@@ -177,7 +192,7 @@
             kind = answer.content_type
             reply = Reply(msg.id, answer.status, answer.body, kind)
         except Refusal as exc:
-            reply = _reply_of(msg.id, exc)
+            reply = _refusal_reply(msg.id, exc)
         except Exception as exc:
             refusal = Refusal(
                 Reason.INTERNAL,
@@ -185,22 +200,22 @@
                 outcome=Outcome.UNKNOWN,
                 message=repr(exc),
             )
-            reply = _reply_of(msg.id, refusal)
+            reply = _refusal_reply(msg.id, refusal)
         finally:
             del self.active[msg.id]
-        self._keep(reply)
+        self._keep_reply(reply)
         self.send(msg.name, reply)
 
-    def _keep(self, reply: Reply) -> None:
-        """Keep an answer for a peer that asks again, within a bound on bytes."""
+    def _keep_reply(self, reply: Reply) -> None:
+        """Keep a reply for a peer that polls again, up to ``MAX_KEPT_BYTES``."""
         self._replies[reply.id] = reply
         self._kept_bytes += len(reply.body) + REPLY_OVERHEAD
-        while self._kept_bytes > KEPT_BYTES and len(self._replies) > 1:
-            _, old = self._replies.popitem(last=False)
-            self._kept_bytes -= len(old.body) + REPLY_OVERHEAD
+        while self._kept_bytes > MAX_KEPT_BYTES and len(self._replies) > 1:
+            _, oldest = self._replies.popitem(last=False)
+            self._kept_bytes -= len(oldest.body) + REPLY_OVERHEAD
 
 
-def _reply_of(key: str, exc: Refusal) -> Reply:
+def _refusal_reply(key: str, exc: Refusal) -> Reply:
     return Reply(
         key,
         reason=exc.reason.value,
--- a/siskinroad/front.py
+++ b/siskinroad/front.py
@@ -1,4 +1,4 @@
-"""A caller's request from its arrival to its one true answer."""
+"""Routing of a caller's request to the owner of a shard that can run it."""
 
 from __future__ import annotations
 
@@ -15,11 +15,15 @@
 from siskinroad.routing import Place, ShardLoad, choose
 from siskinroad.upstreams import Answer
 
-__all__ = ["Front", "Request", "home_of"]
+__all__ = ["Front", "Request", "home_data_centre_of"]
 
-NO_OWNER_PATIENCE = 6.0
-NO_OWNER_PAUSE = 0.05
-HANDED_ON = {
+# Seconds for which a request waits for an owner to become known. A shorter time
+# refuses requests during a takeover.
+NO_OWNER_TIMEOUT = 6.0
+# Seconds between two looks for an owner within that time.
+NO_OWNER_RETRY_INTERVAL = 0.05
+# Refusals after which a request is tried at the owner of another shard.
+RETRIED_ELSEWHERE = {
     Reason.NO_OWNER,
     Reason.OWNERSHIP_IN_DOUBT,
     Reason.DRAINING,
@@ -29,7 +33,7 @@
 
 @dataclass(slots=True)
 class Request:
-    """One request of a caller; ``deadline`` in loop time."""
+    """One request of a caller; ``deadline`` is in loop time (s)."""
 
     workload: Workload
     path: str
@@ -38,25 +42,27 @@
     deadline: float
 
 
-def home_of(cell: Cell, workload: Workload, key: str, here: Place) -> str:
-    """Return the data centre whose stream holds the records of a key."""
+def home_data_centre_of(cell: Cell, workload: Workload, key: str, here: Place) -> str:
+    """Return the data centre whose log stream stores the records of a key."""
     centres = {host.data_centre for host in cell.pools[workload.pool].hosts}
     if workload.locality is Locality.DATA_CENTRE:
         return here.data_centre
     if workload.locality is Locality.REGION:
-        centres = {x for x in centres if cell.region_of(x) == here.region}
+        centres = {
+            centre for centre in centres if cell.region_of(centre) == here.region
+        }
     return rendezvous(key, sorted(centres)) if centres else here.data_centre
 
 
 class Front:
-    """Finds the owner for each request and hands it over.
+    """Handler of callers' requests: routes each to the owner of a shard.
 
     Parameters
     ----------
     loads : callable
-        Returns the known shards, this daemon's own included.
-    run_here : callable
-        Runs a request on a shard of this daemon.
+        Returns the loads of all known shards, including this daemon's own.
+    run_locally : callable
+        Runs a request on a shard that this daemon owns.
     """
 
     def __init__(
@@ -64,7 +70,7 @@
         name: str,
         place: Place,
         loads: Callable[[], list[ShardLoad]],
-        run_here: Callable[[str, Request], Awaitable[Answer]],
+        run_locally: Callable[[str, Request], Awaitable[Answer]],
         forwarder: Forwarder,
         incarnation: Callable[[str], int],
         rng: random.Random,
@@ -72,19 +78,19 @@
         self.name = name
         self.place = place
         self.loads = loads
-        self.run_here = run_here
+        self.run_locally = run_locally
         self.forwarder = forwarder
         self.incarnation = incarnation
         self.rng = rng
         self.in_progress = 0
 
     async def serve(self, req: Request, cell: Cell) -> Answer:
-        """Return the whole answer to a request.
+        """Return the complete answer to a request.
 
         Raises
         ------
         Refusal
-            "Not run" only if no try can have run.
+            Its outcome is "not run" only if no attempt can have run.
         """
         self.in_progress += 1
         try:
@@ -94,30 +100,30 @@
 
     async def _serve(self, req: Request, cell: Cell) -> Answer:
         loop = asyncio.get_running_loop()
-        patience = min(loop.time() + NO_OWNER_PATIENCE, req.deadline)
-        maybe_ran = False
+        give_up_at = min(loop.time() + NO_OWNER_TIMEOUT, req.deadline)
+        may_have_run = False
         tried: set[str] = set()
-        refusal = self._no_owner(req)
+        refusal = self._no_owner_refusal(req)
         while True:
             load = self._choose(req, cell, tried, loop.time())
             if load is None:
                 tried.clear()
-                if loop.time() + NO_OWNER_PAUSE > patience:
+                if loop.time() + NO_OWNER_RETRY_INTERVAL > give_up_at:
                     break
-                await asyncio.sleep(NO_OWNER_PAUSE)
+                await asyncio.sleep(NO_OWNER_RETRY_INTERVAL)
                 continue
             try:
-                return await self._try(load, req, loop.time())
+                return await self._send_to_owner(load, req, loop.time())
             except Refusal as exc:
                 refusal = exc
-            maybe_ran |= refusal.outcome is Outcome.UNKNOWN
-            repeatable = req.workload.idempotent or not maybe_ran
-            if refusal.reason not in HANDED_ON or not repeatable:
+            may_have_run |= refusal.outcome is Outcome.UNKNOWN
+            is_repeatable = req.workload.idempotent or not may_have_run
+            if refusal.reason not in RETRIED_ELSEWHERE or not is_repeatable:
                 break
             if loop.time() >= req.deadline:
                 break
             tried.add(load.shard)
-        if maybe_ran:
+        if may_have_run:
             refusal.outcome = Outcome.UNKNOWN
         raise refusal
 
@@ -126,18 +132,18 @@
     ) -> ShardLoad | None:
         loads = self.loads()
         if req.key:
-            home = home_of(cell, req.workload, req.key, self.place)
+            home = home_data_centre_of(cell, req.workload, req.key, self.place)
             loads = [load for load in loads if load.place.data_centre == home]
         return choose(req.workload, loads, self.place, tried, now, self.rng)
 
-    def _no_owner(self, req: Request) -> Refusal:
+    def _no_owner_refusal(self, req: Request) -> Refusal:
         reason = Reason.HOME_UNREACHABLE if req.key else Reason.NO_OWNER
-        text = f"no owner with hosts of {req.workload.pool} is known here"
+        text = f"no known daemon owns a shard of pool {req.workload.pool}"
         return Refusal(reason, step="route", retry_after=1.0, message=text)
 
-    async def _try(self, load: ShardLoad, req: Request, now: float) -> Answer:
+    async def _send_to_owner(self, load: ShardLoad, req: Request, now: float) -> Answer:
         if load.owner == self.name:
-            return await self.run_here(load.shard, req)
+            return await self.run_locally(load.shard, req)
         msg = Forward(
             self.name,
             self.forwarder.new_id(),
--- a/siskinroad/jobs.py
+++ b/siskinroad/jobs.py
@@ -1,4 +1,8 @@
-"""Batch jobs and gangs: accepted once on record, watched and cancelled."""
+"""Job service: accepts, shows and cancels batch jobs and gangs.
+
+A job is accepted once its record is stored, and settled once the outcome of each of
+its tasks is stored.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +17,7 @@
 
 from siskinroad.cell import Cell, Workload
 from siskinroad.errors import Outcome, PlatformError, Reason, Refusal
-from siskinroad.front import home_of
+from siskinroad.front import home_data_centre_of
 from siskinroad.ledger import JobState, Ledger
 from siskinroad.messages import JobReply, JobRequest, Message
 from siskinroad.records import JobAccepted, JobCancelled, Record
@@ -22,20 +26,33 @@
 
 __all__ = ["JobDesk", "JobView", "data_centre_of"]
 
-ACCEPT_TIME = 5.0
-REPLY_TIME = 7.0
-RESEND_TIME = 0.5
-MAX_COUNT = 20_000
-MAX_PAYLOAD = 65536
-MAX_WATCH = 60.0
-WATCH_STEP = 0.1
-NO_OWNER_PATIENCE = 6.0
-NO_OWNER_PAUSE = 0.1
-WAITED_FOR = (Reason.NO_OWNER, Reason.HOME_UNREACHABLE)
+# Seconds after which the append of a job's record fails; it may be stored
+# nevertheless, so the outcome is then unknown.
+RECORD_TIMEOUT = 5.0
+# Seconds to wait for the reply of a job's owner. It must exceed ``RECORD_TIMEOUT``,
+# or the owner's own refusal would come too late.
+REPLY_TIMEOUT = 7.0
+# Seconds after which a request to the owner is repeated.
+RESEND_INTERVAL = 0.5
+# Largest number of tasks in one job; its owner queues each one separately.
+MAX_TASKS = 20_000
+# Largest payload of a job in bytes; it is stored in the job's log record.
+MAX_PAYLOAD_BYTES = 65536
+# Longest wait of one ``watch`` call, in seconds.
+MAX_WATCH_TIME = 60.0
+# Seconds between two reads of a job's state during a ``watch`` call.
+WATCH_POLL_INTERVAL = 0.1
+# Seconds for which a submission waits for an owner to become known. A shorter time
+# refuses jobs during a takeover.
+NO_OWNER_TIMEOUT = 6.0
+# Seconds between two attempts within that time.
+NO_OWNER_RETRY_INTERVAL = 0.1
+# Refusals after which a submission is tried again within that time.
+RETRIED_REASONS = (Reason.NO_OWNER, Reason.HOME_UNREACHABLE)
 
 
 class JobView(msgspec.Struct, frozen=True):
-    """A job as its caller sees it."""
+    """State of a job as shown to its caller, with task counts by state."""
 
     job: str
     workload: str
@@ -49,17 +66,19 @@
 
 
 @dataclass(slots=True)
-class _Out:
+class _PendingCall:
+    """A request to a job's owner that awaits its reply."""
+
     fut: asyncio.Future[JobReply]
 
 
 def data_centre_of(job: str) -> str:
-    """Return the data centre that a job's name carries."""
+    """Return the data centre in a job's name."""
     return job.rpartition(".")[0]
 
 
 class JobDesk:
-    """Accepts, shows and cancels jobs, here or at the daemon that owns them."""
+    """Service for jobs, which calls the daemon that owns a job's shard if needed."""
 
     def __init__(
         self,
@@ -69,72 +88,74 @@
         shards: ShardSet,
         ledger: Ledger,
         put: Callable[[Record, float], asyncio.Future[int]],
-        applied: Callable[[int], Awaitable[None]],
+        wait_applied: Callable[[int], Awaitable[None]],
         loads: Callable[[], list[ShardLoad]],
         send: Callable[[str, Message], None],
-        explain_here: Callable[[str], str],
+        explain_locally: Callable[[str], str],
         rng: random.Random,
     ) -> None:
         self.name = name
-        self.explain_here = explain_here
+        self.explain_locally = explain_locally
         self.place = place
         self.shards = shards
         self.ledger = ledger
         self.put = put
-        self.applied = applied
+        self.wait_applied = wait_applied
         self.loads = loads
         self.send = send
         self.rng = rng
-        self._prefix = f"{name}-{incarnation}"
+        self._id_prefix = f"{name}-{incarnation}"
         self._sequence = 0
-        self._out: dict[str, _Out] = {}
+        self._pending: dict[str, _PendingCall] = {}
         self._serving: dict[str, asyncio.Task[None]] = {}
 
-    # At the daemon that a caller asks
+    # At the daemon that receives the caller's request
 
     async def submit(
         self, cell: Cell, workload: Workload, count: int, payload: bytes, key: str
     ) -> JobView:
-        """Accept a job; it is on record when this returns.
+        """Submit a job; its record is stored when this returns.
 
         Parameters
         ----------
         key : str
-            Names the job, so that submitting again does no harm; may be empty.
+            Idempotency key: a second submission with it returns the same job. May
+            be empty.
 
         Raises
         ------
         Refusal
+            The job was not accepted, or the outcome is unknown.
         """
-        _check(workload, count, payload)
-        token = self._token(workload, key)
+        _check_submission(workload, count, payload)
+        suffix = self._make_name_suffix(workload, key)
         loop = asyncio.get_running_loop()
-        until = loop.time() + NO_OWNER_PATIENCE
+        until = loop.time() + NO_OWNER_TIMEOUT
         while True:
             try:
-                load = self._home(cell, workload, key)
-                job = f"{load.place.data_centre}.{token}"
-                return await self._call(
+                load = self._choose_shard(cell, workload, key)
+                job = f"{load.place.data_centre}.{suffix}"
+                return await self._call_owner(
                     load.owner, "submit", job, load.shard, workload.name, count, payload
                 )
             except Refusal as exc:
-                if exc.reason not in WAITED_FOR or loop.time() >= until:
+                if exc.reason not in RETRIED_REASONS or loop.time() >= until:
                     raise
-            await asyncio.sleep(NO_OWNER_PAUSE)
+            await asyncio.sleep(NO_OWNER_RETRY_INTERVAL)
 
-    def _token(self, workload: Workload, key: str) -> str:
+    def _make_name_suffix(self, workload: Workload, key: str) -> str:
         if key:
             data = f"{workload.name}\0{key}".encode()
             return "k" + hashlib.blake2b(data, digest_size=10).hexdigest()
         self._sequence += 1
-        return f"{self._prefix}-{self._sequence}"
+        return f"{self._id_prefix}-{self._sequence}"
 
-    def _home(self, cell: Cell, workload: Workload, key: str) -> ShardLoad:
-        """Return the shard for a job; with a key always in the same data centre."""
+    def _choose_shard(self, cell: Cell, workload: Workload, key: str) -> ShardLoad:
+        """Choose a shard for a job; a key always leads to the same data centre."""
         now = asyncio.get_running_loop().time()
         loads = self.loads()
         if key:
-            home = home_of(cell, workload, key, self.place)
+            home = home_data_centre_of(cell, workload, key, self.place)
             loads = [load for load in loads if load.place.data_centre == home]
         near = [load for load in loads if load.place == self.place]
         load = choose(workload, near, self.place, set(), now, self.rng)
@@ -146,31 +167,31 @@
         return load
 
     async def watch(self, job: str, wait: float) -> JobView:
-        """Return a job's state, once it has ended or ``wait`` seconds are over."""
+        """Return a job's state once it has settled or ``wait`` seconds have passed."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + min(wait, MAX_WATCH)
+        until = loop.time() + min(wait, MAX_WATCH_TIME)
         while True:
-            view = await self._call(self._owner_of(job), "watch", job)
+            view = await self._call_owner(self._owner_of(job), "watch", job)
             if view.settled or loop.time() >= until:
                 return view
-            await asyncio.sleep(WATCH_STEP)
+            await asyncio.sleep(WATCH_POLL_INTERVAL)
 
     async def cancel(self, job: str) -> JobView:
-        """Cancel a job: when this returns, no task of it starts any more."""
-        return await self._call(self._owner_of(job), "cancel", job)
+        """Cancel a job; none of its tasks is started after this returns."""
+        return await self._call_owner(self._owner_of(job), "cancel", job)
 
     async def explain(self, key: str) -> str:
-        """Return in a sentence why a task waits, or where it runs or ran."""
+        """Return a sentence that says why a task waits, or where it runs or ran."""
         job = key.rpartition("/")[0] or key
         owner = self._owner_of(job)
         if owner == self.name:
-            return self.explain_here(key)
-        reply = await self._exchange(owner, self._message("explain", key))
+            return self.explain_locally(key)
+        reply = await self._exchange(owner, self._make_request("explain", key))
         return reply.body.decode()
 
     def _owner_of(self, job: str) -> str:
         if data_centre_of(job) != self.place.data_centre:
-            return self._abroad(job)
+            return self._remote_owner_of(job)
         state = self.ledger.jobs.get(job)
         if state is None:
             text = "no such job, or it ended long ago"
@@ -183,14 +204,14 @@
                 return load.owner
         return self.name
 
-    def _abroad(self, job: str) -> str:
+    def _remote_owner_of(self, job: str) -> str:
         centre = data_centre_of(job)
         for load in self.loads():
             if load.place.data_centre == centre and load.owner:
                 return load.owner
         raise Refusal(Reason.HOME_UNREACHABLE, step="job", retry_after=2.0)
 
-    async def _call(
+    async def _call_owner(
         self,
         owner: str,
         op: str,
@@ -200,15 +221,15 @@
         count: int = 0,
         payload: bytes = b"",
     ) -> JobView:
-        msg = self._message(op, job, shard, workload, count, payload)
+        msg = self._make_request(op, job, shard, workload, count, payload)
         if owner == self.name:
             return await self._serve(msg)
         reply = await self._exchange(owner, msg)
         if reply.status == 0:
             return msgspec.json.decode(reply.body, type=JobView)
-        raise _refusal_of(reply)
+        raise _decode_refusal(reply)
 
-    def _message(
+    def _make_request(
         self,
         op: str,
         job: str,
@@ -218,22 +239,22 @@
         payload: bytes = b"",
     ) -> JobRequest:
         self._sequence += 1
-        key = f"{self._prefix}-{self._sequence}"
+        key = f"{self._id_prefix}-{self._sequence}"
         return JobRequest(self.name, key, op, job, shard, workload, count, payload)
 
     async def _exchange(self, owner: str, msg: JobRequest) -> JobReply:
         loop = asyncio.get_running_loop()
-        out = _Out(loop.create_future())
-        self._out[msg.id] = out
-        until = loop.time() + REPLY_TIME
+        pending = _PendingCall(loop.create_future())
+        self._pending[msg.id] = pending
+        until = loop.time() + REPLY_TIMEOUT
         try:
             while loop.time() < until:
                 self.send(owner, msg)
-                await asyncio.wait({out.fut}, timeout=RESEND_TIME)
-                if out.fut.done():
-                    return out.fut.result()
+                await asyncio.wait({pending.fut}, timeout=RESEND_INTERVAL)
+                if pending.fut.done():
+                    return pending.fut.result()
         finally:
-            del self._out[msg.id]
+            del self._pending[msg.id]
         raise Refusal(
             Reason.PEER_LOST,
             step="job",
@@ -243,25 +264,25 @@
         )
 
     def hear_reply(self, msg: JobReply) -> None:
-        """Take the answer of the owner."""
-        out = self._out.get(msg.id)
-        if out is not None and not out.fut.done():
-            out.fut.set_result(msg)
+        """Complete a pending request with the owner's reply."""
+        pending = self._pending.get(msg.id)
+        if pending is not None and not pending.fut.done():
+            pending.fut.set_result(msg)
 
     # At the daemon that owns the job's shard
 
     def hear(self, msg: JobRequest) -> None:
-        """Serve a peer; a repeated request is served once at a time."""
+        """Serve a peer's request; ignore a repetition while it is being served."""
         if msg.id in self._serving:
             return
-        task = asyncio.get_running_loop().create_task(self._reply(msg))
+        task = asyncio.get_running_loop().create_task(self._serve_and_reply(msg))
         self._serving[msg.id] = task
         task.add_done_callback(lambda _: self._serving.pop(msg.id, None))
 
-    async def _reply(self, msg: JobRequest) -> None:
+    async def _serve_and_reply(self, msg: JobRequest) -> None:
         try:
             if msg.op == "explain":
-                text = self.explain_here(msg.job)
+                text = self.explain_locally(msg.job)
                 self.send(msg.name, JobReply(msg.id, 0, text.encode()))
                 return
             view = await self._serve(msg)
@@ -277,10 +298,12 @@
             case "cancel":
                 return await self._cancel(msg.job)
             case "watch":
-                return self._view(self._state(msg.job))
-        raise Refusal(Reason.BAD_REQUEST, step="job", message=f"no operation {msg.op}")
+                return self._view(self._get_state(msg.job))
+        raise Refusal(
+            Reason.BAD_REQUEST, step="job", message=f"unknown job operation {msg.op}"
+        )
 
-    def _state(self, job: str) -> JobState:
+    def _get_state(self, job: str) -> JobState:
         state = self.ledger.jobs.get(job)
         if state is None:
             text = "no such job, or it ended long ago"
@@ -302,7 +325,7 @@
             self.shards.ownership.epoch(msg.shard),
         )
         await self._record(record)
-        return self._view(self._state(msg.job))
+        return self._view(self._get_state(msg.job))
 
     def _admit(self, msg: JobRequest) -> Workload:
         owner = self.shards.owners.get(msg.shard)
@@ -325,22 +348,23 @@
 
     async def _record(self, record: Record) -> None:
         try:
-            offset = await self.put(record, ACCEPT_TIME)
-            await self.applied(offset)
+            offset = await self.put(record, RECORD_TIMEOUT)
+            await self.wait_applied(offset)
         except (PlatformError, TimeoutError):
             raise Refusal(
                 Reason.LOG_UNAVAILABLE,
                 step="job",
                 outcome=Outcome.UNKNOWN,
                 retry_after=5.0,
-                message="not confirmed; repeat it with the same key to be sure",
+                message="the log did not confirm the record in time; "
+                "submit again with the same key to find out",
             ) from None
 
     async def _cancel(self, job: str) -> JobView:
-        state = self._state(job)
+        state = self._get_state(job)
         if not state.settled and not state.cancelled:
             await self._record(JobCancelled(job))
-        return self._view(self._state(job))
+        return self._view(self._get_state(job))
 
     def _view(self, state: JobState) -> JobView:
         accepted = state.accepted
@@ -349,8 +373,8 @@
         outcomes = list({**known, **state.ended}.values())
         done = outcomes.count("done")
         cancelled = outcomes.count("cancelled")
-        running = self._running(accepted)
-        left = accepted.count - len(outcomes)
+        running = self._count_running(accepted)
+        remaining = accepted.count - len(outcomes)
         return JobView(
             accepted.job,
             accepted.workload,
@@ -358,12 +382,12 @@
             done,
             len(outcomes) - done - cancelled,
             cancelled,
-            min(running, left),
-            max(0, left - running),
+            min(running, remaining),
+            max(0, remaining - running),
             state.settled,
         )
 
-    def _running(self, accepted: JobAccepted) -> int:
+    def _count_running(self, accepted: JobAccepted) -> int:
         owner = self.shards.owners.get(accepted.shard)
         if owner is None:
             return 0
@@ -375,16 +399,16 @@
         return sum(1 for key in keys if key in running)
 
 
-def _check(workload: Workload, count: int, payload: bytes) -> None:
+def _check_submission(workload: Workload, count: int, payload: bytes) -> None:
     if workload.kind == "service":
-        text = "a service takes requests, not jobs"
+        text = f"{workload.name} is a service: it takes requests, not jobs"
         raise Refusal(Reason.BAD_REQUEST, step="submit", message=text)
-    most = 1 if workload.kind == "gang" else MAX_COUNT
-    if not 1 <= count <= most:
-        text = f"count must be from 1 to {most}"
+    max_count = 1 if workload.kind == "gang" else MAX_TASKS
+    if not 1 <= count <= max_count:
+        text = f"count must be from 1 to {max_count}, got {count}"
         raise Refusal(Reason.BAD_REQUEST, step="submit", message=text)
-    if len(payload) > MAX_PAYLOAD:
-        text = f"payload must be at most {MAX_PAYLOAD} bytes"
+    if len(payload) > MAX_PAYLOAD_BYTES:
+        text = f"payload must be at most {MAX_PAYLOAD_BYTES} bytes, got {len(payload)}"
         raise Refusal(Reason.BAD_REQUEST, step="submit", message=text)
 
 
@@ -399,7 +423,7 @@
     return msgspec.json.encode(fields)
 
 
-def _refusal_of(reply: JobReply) -> Refusal:
+def _decode_refusal(reply: JobReply) -> Refusal:
     reason, step, outcome, retry_after, message = msgspec.json.decode(reply.body)
     return Refusal(
         Reason(reason),
--- a/siskinroad/replies.py
+++ b/siskinroad/replies.py
@@ -1,4 +1,4 @@
-"""Typed refusals and errors as HTTP responses."""
+"""HTTP responses for refusals, and JSON responses."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 
 __all__ = ["RefusalBody", "json_response", "refusal_response"]
 
-STATUS = {
+# HTTP status by reason of a refusal. Any other reason gives 503 if the request was
+# not run, and 504 if its outcome is unknown.
+STATUS_BY_REASON = {
     Reason.BAD_REQUEST: 400,
     Reason.UNAUTHORIZED: 401,
     Reason.UNKNOWN_SERVICE: 404,
@@ -29,7 +31,7 @@
 
 
 class RefusalBody(msgspec.Struct, frozen=True):
-    """Body of every refusal."""
+    """JSON body of a refusal; ``retry_after`` is in seconds."""
 
     reason: str
     step: str
@@ -44,7 +46,7 @@
 
 
 def refusal_response(exc: Refusal) -> HttpResponse:
-    """Return the response that tells a caller of a refusal."""
+    """Return the HTTP response for a refusal."""
     body = RefusalBody(
         exc.reason.value,
         exc.step,
@@ -57,5 +59,7 @@
     if exc.retry_after > 0:
         headers = (("retry-after", str(math.ceil(exc.retry_after))),)
     return HttpResponse(
-        STATUS.get(exc.reason, default), msgspec.json.encode(body), headers=headers
+        STATUS_BY_REASON.get(exc.reason, default),
+        msgspec.json.encode(body),
+        headers=headers,
     )
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""A forwarded request runs once, whatever is lost, repeated or restarted."""
+"""A forwarded request runs at most once despite loss, resends and restarts."""
 
 import asyncio
 
@@ -6,28 +6,28 @@
 
 from bench.clock import run
 from siskinroad.errors import Outcome, Reason, Refusal
-from siskinroad.forwarding import KEPT_BYTES, Forwarder, Receiver
+from siskinroad.forwarding import MAX_KEPT_BYTES, Forwarder, Receiver
 from siskinroad.messages import Forward, ForwardAsk, Reply
 from siskinroad.upstreams import Answer
 
 
-class Pair:
-    """A sender and a receiver; ``lose`` says which messages are lost."""
+class ForwardPair:
+    """A forwarder and a receiver; messages that match ``is_lost`` are dropped."""
 
-    def __init__(self, lose=lambda msg: False, seconds=0.5):
-        self.lose = lose
+    def __init__(self, is_lost=lambda msg: False, run_seconds=0.5):
+        self.is_lost = is_lost
         self.runs = 0
-        self.seconds = seconds
+        self.run_seconds = run_seconds
         self.forwarder = Forwarder("a", 1, self.to_receiver)
-        self.receiver = Receiver(7, self.to_sender, self.work)
+        self.receiver = Receiver(7, self.to_sender, self.run_request)
 
-    async def work(self, msg):
+    async def run_request(self, msg):
         self.runs += 1
-        await asyncio.sleep(self.seconds)
+        await asyncio.sleep(self.run_seconds)
         return Answer(200, msg.body)
 
     def to_receiver(self, name, msg):
-        if self.lose(msg):
+        if self.is_lost(msg):
             return
         if isinstance(msg, ForwardAsk):
             self.receiver.hear_ask(msg)
@@ -35,69 +35,73 @@
             self.receiver.hear(msg)
 
     def to_sender(self, name, msg):
-        if self.lose(msg):
+        if self.is_lost(msg):
             return
         if isinstance(msg, Reply):
             self.forwarder.hear_reply(msg)
         else:
             self.forwarder.hear_ack(msg)
 
-    def ask(self, incarnation=7, body=b"x", left=10.0):
+    def forward_request(self, incarnation=7, body=b"x", left=10.0):
         key = self.forwarder.new_id()
         msg = Forward("a", key, incarnation, "s", "quote", left, "", "/", body)
         return self.forwarder.forward("b", msg)
 
 
-def losing(kind, count):
+def lose_first(kind, count):
     left = [count]
 
-    def lose(msg):
+    def is_lost(msg):
         if type(msg).__name__ == kind and left[0]:
             left[0] -= 1
             return True
         return False
 
-    return lose
+    return is_lost
 
 
 @pytest.mark.parametrize("kind", ["Forward", "ForwardAck", "Reply", "ForwardAsk"])
-def test_a_lost_message_loses_nothing(kind):
+def test_request_runs_once_when_messages_are_lost(kind):
+    # Guards against a lost answer or a second run after resends.
     async def main():
-        pair = Pair(losing(kind, 2), seconds=2.0)
-        answer = await pair.ask(body=b"whole")
+        pair = ForwardPair(lose_first(kind, 2), run_seconds=2.0)
+        answer = await pair.forward_request(body=b"whole")
         return answer.body, pair.runs
 
     assert run(main()) == (b"whole", 1)
 
 
-def test_a_silent_peer_leaves_the_outcome_unknown():
+def test_silent_peer_leaves_the_outcome_unknown():
+    # Guards against a refusal as not run: the request may have reached the peer.
     async def main():
-        pair = Pair(lambda msg: True)
+        pair = ForwardPair(lambda msg: True)
         with pytest.raises(Refusal) as info:
-            await pair.ask()
+            await pair.forward_request()
         assert info.value.reason == Reason.PEER_LOST
         assert info.value.outcome == Outcome.UNKNOWN
 
     run(main())
 
 
-def test_a_restarted_peer_does_not_run_what_its_predecessor_may_have():
+def test_restarted_peer_does_not_run_a_request_for_its_earlier_incarnation():
+    # Guards against a second run: the earlier incarnation may have run the request.
     async def main():
-        pair = Pair()
+        pair = ForwardPair()
         with pytest.raises(Refusal) as info:
-            await pair.ask(incarnation=6)
+            await pair.forward_request(incarnation=6)
         assert (info.value.outcome, pair.runs) == (Outcome.UNKNOWN, 0)
 
     run(main())
 
 
-def test_kept_answers_stay_within_their_bytes():
+def test_kept_replies_stay_within_max_kept_bytes():
+    # Guards against unbounded memory for replies that are kept for resends.
     async def main():
-        pair = Pair(seconds=0.0)
+        pair = ForwardPair(run_seconds=0.0)
         for _ in range(40):
-            await pair.ask(body=b"x" * 65536)
+            await pair.forward_request(body=b"x" * 65536)
         kept = pair.receiver._replies.values()
-        assert sum(len(reply.body) for reply in kept) <= KEPT_BYTES
+        assert sum(len(reply.body) for reply in kept) <= MAX_KEPT_BYTES
         assert pair.runs == 40
 
     run(main())
