--- a/siskinroad/hostwatch.py
+++ b/siskinroad/hostwatch.py
@@ -1,4 +1,4 @@
-"""What an owner knows of one host: its inventory, its silence, its leases."""
+"""Monitor of one upstream host: inventories, silence and task leases."""
 
 from __future__ import annotations
 
@@ -17,17 +17,32 @@
 
 __all__ = ["TASK_LEASE", "HostWatch", "WatchedOwner", "watch_host"]
 
+# Lease of a task in seconds: the host stops it when no inventory has renewed it for
+# so long. If it is too short, a brief outage stops tasks; a longer one delays the
+# restart of the tasks of a dead host.
 TASK_LEASE = 20.0
+# Long-poll time of an inventory request in seconds: the host answers when a task
+# ends, at the latest after this. It must stay below ``TASK_LEASE``, as each inventory
+# renews the leases.
 INVENTORY_WAIT = 10.0
+# Seconds beyond the long poll after which a host counts as silent.
 INVENTORY_MARGIN = 1.0
-SILENT_PAUSE = 1.0
+# Seconds between inventory requests to a silent host.
+SILENT_RETRY_INTERVAL = 1.0
+# Seconds added to a lease before its tasks are taken as ended. Without it, a task
+# could be started elsewhere while the silent host still runs it.
 LEASE_MARGIN = 1.0
+# Pauses between inventories in seconds: the shortest, and the longest while the
+# inventory stays the same. A host answers at once while it lists ended tasks, so
+# without the pauses the monitor would poll in a tight loop.
 MIN_PAUSE = 0.02
-STILL_PAUSE = 1.0
-PHANTOM = "requests-of-others~0"
-STRANGER = "stranger"
+MAX_UNCHANGED_PAUSE = 1.0
+# Names under which the host index reserves resources for work of earlier owners:
+# requests in progress, and tasks that no accepted job accounts for.
+LEFTOVER_REQUESTS = "requests-of-others~0"
+UNKNOWN_TASK = "stranger"
 
-ENDS = {
+END_BY_STATE = {
     TaskState.DONE: End.DONE,
     TaskState.FAILED: End.FAILED,
     TaskState.STOPPED: End.STOPPED,
@@ -37,57 +52,74 @@
 
 @dataclass(slots=True, eq=False)
 class HostWatch:
-    """One host of an owned shard.
+    """Monitor of one host of an owned shard.
 
     Attributes
     ----------
     answered : bool
-        It has answered an inventory of this owner.
-    renewed : float
-        Loop time until which an inventory may have renewed its leases.
-    lapsed : bool
-        Its leases have ended since it fell silent.
+        The host has answered an inventory request of this owner.
+    silent : bool
+        The last inventory request failed or timed out.
+    last_renewal : float
+        Loop time of the last request that may have renewed its task leases.
+    leases_expired : bool
+        Its task leases have expired since it became silent.
+    removed : bool
+        The host is no longer in the configuration.
+    last_start_ended_at : float
+        Loop time at which the last call to start a task on it ended.
     starting : set of str
-        Attempts whose start is under way.
+        Attempts whose start is in flight.
     acked : list of str
-        Ended attempts that it may forget.
-    again : list of ControlTask
-        Requests to a task that did not get through.
-    recording : set of str
-        Ended attempts whose end is not on record yet.
-    seen : list of tuple
-        Attempts and states of the last inventory.
-    still : bool
-        The last inventory showed what the one before it did, such as ended tasks
-        that cannot be acknowledged while the log is down.
-    phantoms : int
-        Requests of earlier owners in progress there; -1 before the first answer.
+        Ended attempts to acknowledge, so that the host can forget them.
+    controls_to_retry : list of ControlTask
+        Control commands that failed and are sent again after the next inventory.
+    unrecorded : set of str
+        Ended attempts whose end is not stored yet.
+    last_reported : list of tuple
+        Attempts and states in the last inventory.
+    unchanged : bool
+        The last two inventories were the same, for example because ended tasks
+        cannot be acknowledged while the log is unavailable.
+    leftover_requests : int
+        Requests of earlier owners in progress on the host; -1 before the first
+        inventory.
     """
 
     host: Host
     answered: bool = False
     silent: bool = False
-    lapsed: bool = False
+    leases_expired: bool = False
     removed: bool = False
-    renewed: float = float("-inf")
-    settled_at: float = float("-inf")
+    last_renewal: float = float("-inf")
+    last_start_ended_at: float = float("-inf")
     starting: set[str] = field(default_factory=set)
     acked: list[str] = field(default_factory=list)
-    again: list[ControlTask] = field(default_factory=list)
-    recording: set[str] = field(default_factory=set)
-    phantoms: int = -1
-    seen: list[tuple[str, TaskState]] = field(default_factory=list)
-    still: bool = False
+    controls_to_retry: list[ControlTask] = field(default_factory=list)
+    unrecorded: set[str] = field(default_factory=set)
+    leftover_requests: int = -1
+    last_reported: list[tuple[str, TaskState]] = field(default_factory=list)
+    unchanged: bool = False
 
     @property
-    def cleared(self) -> bool:
-        """Whether no task can run on it unseen."""
-        return self.answered or self.lapsed
-
-    async def ask(self, owner: WatchedOwner, *, wait: float, renew: bool) -> bool:
-        """Ask for the inventory once; return whether it answered."""
+    def is_accounted_for(self) -> bool:
+        """Whether no task can run on the host without this owner's knowledge."""
+        return self.answered or self.leases_expired
+
+    async def fetch_inventory(
+        self, owner: WatchedOwner, *, wait: float, renew: bool
+    ) -> bool:
+        """Fetch the inventory once; return whether the host answered.
+
+        Parameters
+        ----------
+        wait : float
+            Long-poll time in seconds.
+        renew : bool
+            Renew the leases of the tasks that run on the host.
+        """
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        asked_at = loop.time()
         acked, self.acked = self.acked, []
         try:
             async with asyncio.timeout(wait + INVENTORY_MARGIN):
@@ -95,122 +127,126 @@
                     self.host, owner.epoch, acked, wait, renew
                 )
         except StaleEpochError:
-            owner.go_stale()
+            owner.mark_stale()
             return False
         except (NotSentError, OutcomeUnknownError, TimeoutError):
             self.acked += acked
-            self._fall_silent(owner, loop.time(), renew)
+            self._mark_silent(owner, loop.time(), renew)
             return False
         if renew:
-            self.renewed = loop.time()
-        self._speak(owner)
-        seen = [(report.attempt, report.state) for report in inventory.tasks]
-        self.still, self.seen = seen == self.seen, seen
-        _take(owner, self, inventory, began)
+            self.last_renewal = loop.time()
+        self._mark_answered(owner)
+        reported = [(report.attempt, report.state) for report in inventory.tasks]
+        self.unchanged, self.last_reported = reported == self.last_reported, reported
+        _apply_inventory(owner, self, inventory, asked_at)
         return True
 
-    def _fall_silent(self, owner: WatchedOwner, now: float, renew: bool) -> None:
+    def _mark_silent(self, owner: WatchedOwner, now: float, renew: bool) -> None:
         if renew:
-            self.renewed = now
+            self.last_renewal = now
         if not self.silent:
             self.silent = True
-            owner.ports.count("host", "silent")
+            owner.ports.count_event("host", "silent")
         owner.host_event(self.host.name, "silent")
 
-    def _speak(self, owner: WatchedOwner) -> None:
+    def _mark_answered(self, owner: WatchedOwner) -> None:
         self.answered = True
         self.silent = False
-        self.lapsed = False
+        self.leases_expired = False
         owner.host_event(self.host.name, "inventory")
 
-    def check_lapse(self, owner: WatchedOwner, lease: float, now: float) -> None:
-        """Take the tasks of a silent host as ended once their leases have."""
-        if self.lapsed or now < self.renewed + lease + LEASE_MARGIN:
+    def check_lease_expiry(self, owner: WatchedOwner, lease: float, now: float) -> None:
+        """End the tasks of a silent host as lost once their leases have expired."""
+        if self.leases_expired or now < self.last_renewal + lease + LEASE_MARGIN:
             return
-        self.lapsed = True
-        owner.ports.count("host", "lapsed")
+        self.leases_expired = True
+        owner.ports.count_event("host", "lapsed")
         owner.run(owner.scheduler.lose_tasks(self.host.name, now))
 
 
-class TaskKeeper(Protocol):
-    """Who knows the tasks that hosts list."""
+class TaskTracker(Protocol):
+    """Tasks that the shard's owner expects on its hosts."""
 
     def adopt(self, name: AttemptName, host: str) -> bool:
-        """Take over a task that a host runs; return whether it is known now."""
+        """Adopt a task that a host reports; return False if it must not run."""
 
     def acknowledge(self, key: str, watch: HostWatch, attempt: str) -> None:
-        """Let a host forget an ended attempt once nothing depends on it."""
+        """Acknowledge an ended attempt to its host once nothing depends on it."""
 
 
 class WatchedOwner(OwnerView, Protocol):
-    """A shard's owner with its hosts; ``watches`` has them by name."""
+    """A shard's owner with its host monitors in ``watches``, by host name."""
 
     watches: dict[str, HostWatch]
 
     @property
-    def tasks(self) -> TaskKeeper:
-        """The tasks of the jobs that are homed at the shard."""
+    def tasks(self) -> TaskTracker:
+        """Tasks of the shard's jobs."""
 
 
 async def watch_host(owner: WatchedOwner, watch: HostWatch) -> None:
-    """Keep asking one host for its inventory until it is removed.
+    """Fetch a host's inventory in a loop until the host is removed.
 
-    While the host is silent no lease is renewed, so that they end for certain.
+    No lease is renewed while the host is silent, so that its task leases are certain
+    to expire: a request that reaches it although the reply is lost would renew them.
     """
     loop = asyncio.get_running_loop()
     pause = MIN_PAUSE
     while not watch.removed:
         if watch.silent:
-            await asyncio.sleep(SILENT_PAUSE)
-            await watch.ask(owner, wait=0.0, renew=False)
-            watch.check_lapse(owner, TASK_LEASE, loop.time())
+            await asyncio.sleep(SILENT_RETRY_INTERVAL)
+            await watch.fetch_inventory(owner, wait=0.0, renew=False)
+            watch.check_lease_expiry(owner, TASK_LEASE, loop.time())
             continue
-        if await watch.ask(owner, wait=INVENTORY_WAIT, renew=True):
-            longer = min(pause * 2, STILL_PAUSE)
-            pause = longer if watch.still else MIN_PAUSE
+        if await watch.fetch_inventory(owner, wait=INVENTORY_WAIT, renew=True):
+            doubled_pause = min(pause * 2, MAX_UNCHANGED_PAUSE)
+            pause = doubled_pause if watch.unchanged else MIN_PAUSE
             await asyncio.sleep(pause)
 
 
-def _take(
-    owner: WatchedOwner, watch: HostWatch, inventory: Inventory, began: float
+def _apply_inventory(
+    owner: WatchedOwner, watch: HostWatch, inventory: Inventory, asked_at: float
 ) -> None:
-    """Bring the scheduler in line with what a host reports."""
+    """Reconcile the scheduler's state with a host's inventory."""
     if inventory.leaving:
         owner.host_event(watch.host.name, "leave")
     view = owner.scheduler.view(watch.host.name)
     if view is None:
         return
     usage: list[tuple[str, int, Usage]] = []
-    strangers: list[TaskReport] = []
-    _release_strangers(owner, view)
+    unknown: list[TaskReport] = []
+    _release_unknown_tasks(owner, view)
     for report in inventory.tasks:
         name = parse_attempt(report.attempt)
         if name is None or report.state is not TaskState.RUNNING:
             continue
-        if not _take_running(owner, watch, name, report, usage):
-            strangers.append(report)
-    _hold_strangers(owner, view, strangers)
+        if not _apply_running_task(owner, watch, name, report, usage):
+            unknown.append(report)
+    _reserve_unknown_tasks(owner, view, unknown)
     for report in inventory.tasks:
         name = parse_attempt(report.attempt)
         if name is not None and report.state is not TaskState.RUNNING:
-            _take_ended(owner, watch, name, report)
+            _apply_ended_task(owner, watch, name, report)
     listed = {report.attempt for report in inventory.tasks}
-    _lose_unlisted(owner, watch, view, listed, began)
-    _hold_phantoms(owner, watch, view, inventory.requests)
+    _end_unlisted_tasks(owner, watch, view, listed, asked_at)
+    _reserve_leftover_requests(owner, watch, view, inventory.requests)
     now = asyncio.get_running_loop().time()
     owner.run(owner.scheduler.usage(watch.host.name, usage, now))
-    again, watch.again = watch.again, []
-    owner.run(list(again))
+    controls, watch.controls_to_retry = watch.controls_to_retry, []
+    owner.run(list(controls))
 
 
-def _take_running(
+def _apply_running_task(
     owner: WatchedOwner,
     watch: HostWatch,
     name: AttemptName,
     report: TaskReport,
     usage: list[tuple[str, int, Usage]],
 ) -> bool:
-    """Take in a running task; return False if no accepted job knows it."""
+    """Apply the report of a running task; stop it if no job accounts for it.
+
+    Returns False if the task was told to stop.
+    """
     host = watch.host.name
     run = owner.scheduler.shard.running.get(name.key)
     known = run is not None and run.attempt == name.run and name.member in run.hosts
@@ -223,41 +259,41 @@
     return True
 
 
-def _release_strangers(owner: WatchedOwner, view: HostView) -> None:
+def _release_unknown_tasks(owner: WatchedOwner, view: HostView) -> None:
     index = owner.scheduler.shard.pool_state(view.name).index
-    for task in [task for task in view.tasks if task.startswith(STRANGER)]:
-        index.give_back(view, task, STRANGER)
+    for task in [task for task in view.tasks if task.startswith(UNKNOWN_TASK)]:
+        index.give_back(view, task, UNKNOWN_TASK)
 
 
-def _hold_strangers(
+def _reserve_unknown_tasks(
     owner: WatchedOwner, view: HostView, reports: list[TaskReport]
 ) -> None:
-    """Hold room for tasks that run though they should not, until they stop."""
+    """Reserve capacity for tasks that were told to stop, until they have stopped."""
     shard = owner.scheduler.shard
     index = shard.pool_state(view.name).index
     for report in reports:
         workload = shard.cell.workloads.get(report.workload)
         used = Resources(report.usage.cpu_milli, report.usage.memory_mib, 0, 1)
         need = workload.demand if workload is not None else used
-        room = Resources(view.cpu, view.memory, view.accelerators, view.slots)
-        task = f"{STRANGER} {report.attempt}~0"
-        index.take(view, task, need.clip(room), STRANGER)
+        free = Resources(view.cpu, view.memory, view.accelerators, view.slots)
+        task = f"{UNKNOWN_TASK} {report.attempt}~0"
+        index.take(view, task, need.clip(free), UNKNOWN_TASK)
 
 
-def _take_ended(
+def _apply_ended_task(
     owner: WatchedOwner, watch: HostWatch, name: AttemptName, report: TaskReport
 ) -> None:
-    if report.attempt in watch.recording:
+    if report.attempt in watch.unrecorded:
         return
     running = owner.scheduler.shard.running
     run = running.get(name.key)
     if run is None or run.attempt != name.run:
         owner.tasks.adopt(name, watch.host.name)
         run = running.get(name.key)
-    watch.recording.add(report.attempt)
+    watch.unrecorded.add(report.attempt)
     if run is not None and run.attempt == name.run and name.member in run.hosts:
         now = asyncio.get_running_loop().time()
-        end = ENDS[report.state]
+        end = END_BY_STATE[report.state]
         effects = owner.scheduler.ended(
             name.key, name.member, end, now, report.run_time, report.usage
         )
@@ -265,15 +301,19 @@
     owner.tasks.acknowledge(name.key, watch, report.attempt)
 
 
-def _lose_unlisted(
+def _end_unlisted_tasks(
     owner: WatchedOwner,
     watch: HostWatch,
     view: HostView,
     listed: set[str],
-    began: float,
+    asked_at: float,
 ) -> None:
-    """End the tasks that the host does not know, and did not when asked."""
-    if watch.settled_at >= began:
+    """End as lost the tasks that are missing from an inventory.
+
+    An inventory requested before the last start on the host ended may lack that
+    task, so it ends none.
+    """
+    if watch.last_start_ended_at >= asked_at:
         return
     now = asyncio.get_running_loop().time()
     for task in list(view.tasks):
@@ -286,24 +326,28 @@
             owner.run(owner.scheduler.ended(key, member, End.LOST, now))
 
 
-def _hold_phantoms(
+def _reserve_leftover_requests(
     owner: WatchedOwner, watch: HostWatch, view: HostView, requests: int
 ) -> None:
-    """Hold room for requests that an earlier owner left on the host."""
-    if watch.phantoms == 0:
+    """Reserve capacity for requests that earlier owners left on the host."""
+    if watch.leftover_requests == 0:
         return
     index = owner.scheduler.shard.pool_state(view.name).index
-    if PHANTOM in view.tasks:
-        index.give_back(view, PHANTOM, PHANTOM)
-    others = max(0, requests - _own_requests(owner, view))
-    watch.phantoms = others if watch.phantoms < 0 else min(others, watch.phantoms)
-    if watch.phantoms:
-        need = _largest_request(owner, watch.host).times(watch.phantoms)
-        room = Resources(view.cpu, view.memory, view.accelerators, view.slots)
-        index.take(view, PHANTOM, need.clip(room), PHANTOM)
+    if LEFTOVER_REQUESTS in view.tasks:
+        index.give_back(view, LEFTOVER_REQUESTS, LEFTOVER_REQUESTS)
+    leftover = max(0, requests - _count_own_requests(owner, view))
+    watch.leftover_requests = (
+        leftover
+        if watch.leftover_requests < 0
+        else min(leftover, watch.leftover_requests)
+    )
+    if watch.leftover_requests:
+        need = _largest_request(owner, watch.host).times(watch.leftover_requests)
+        free = Resources(view.cpu, view.memory, view.accelerators, view.slots)
+        index.take(view, LEFTOVER_REQUESTS, need.clip(free), LEFTOVER_REQUESTS)
 
 
-def _own_requests(owner: WatchedOwner, view: HostView) -> int:
+def _count_own_requests(owner: WatchedOwner, view: HostView) -> int:
     running = owner.scheduler.shard.running
     keys = (split_task(task)[0] for task in view.tasks)
     runs = (running.get(key) for key in keys)
--- a/siskinroad/owner.py
+++ b/siskinroad/owner.py
@@ -1,4 +1,4 @@
-"""A shard in this daemon's hands: the scheduler's effects carried out."""
+"""Owner of one shard: carries out the effects that its scheduler returns."""
 
 from __future__ import annotations
 
@@ -20,19 +20,24 @@
 
 __all__ = ["ShardOwner"]
 
-RELEASE_POLL = 0.02
-MIN_TICK_TIME = 0.01
+# Seconds between checks for task starts in flight during a release. A longer one
+# delays the handover of the shard.
+RELEASE_POLL_INTERVAL = 0.02
+# Shortest sleep between scheduler ticks, in seconds; the longest is ``TICK_TIME``.
+# Without it, a timer that is already due would make the loop spin.
+MIN_TICK_INTERVAL = 0.01
 
 log = logging.getLogger("siskinroad.owner")
 
 
 class ShardOwner:
-    """Places work on one shard from its take-over to its release.
+    """Scheduler loop of one shard, from its takeover to its release.
 
     Parameters
     ----------
     shard, epoch : str, int
-        The claim under which this daemon places work.
+        The claim under which this daemon places work. The epoch is sent to the
+        hosts as the fencing token.
     hosts : list of Host
         The shard's hosts.
     """
@@ -50,95 +55,103 @@
         self.watches: dict[str, HostWatch] = {}
         self.requests = Requests(self)
         self.tasks = Tasks(self)
-        self._sending: set[asyncio.Task[None]] = set()
+        self._in_flight: set[asyncio.Task[None]] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self.closed = False
         for host in hosts:
             self._add_host(host)
 
     def now(self) -> float:
-        """Return the loop's time."""
+        """Return the event loop's time in seconds."""
         return asyncio.get_running_loop().time()
 
     def _add_host(self, host: Host) -> None:
         self.scheduler.add_host(host, self.now())
         self.watches[host.name] = HostWatch(host)
 
-    # Life
+    # Lifecycle
 
-    async def take(self) -> None:
-        """Ask every host what it runs, then start to place work."""
+    async def take_over(self) -> None:
+        """Fetch the inventory of every host, then start to place work."""
         async with asyncio.TaskGroup() as group:
             for watch in self.watches.values():
-                group.create_task(self._first_inventory(watch))
+                group.create_task(self._fetch_first_inventory(watch))
         if self.closed:
             return
         for watch in self.watches.values():
             self.spawn(watch_host(self, watch))
         self.spawn(self._tick())
-        self.tasks.queue_unfound()
+        self.tasks.queue_missing()
         self.resume()
 
-    async def _first_inventory(self, watch: HostWatch) -> None:
-        await watch.ask(self, wait=0.0, renew=True)
+    async def _fetch_first_inventory(self, watch: HostWatch) -> None:
+        await watch.fetch_inventory(self, wait=0.0, renew=True)
 
     def resume(self) -> None:
-        """Start work again; this is called when the claim is certain."""
+        """Place work again; called once ownership of the shard is certain."""
         if not self.closed:
             self.run(self.scheduler.resume(self.now()))
 
     def suspend(self, *, requests: bool = False) -> None:
-        """Start nothing until resumed, or requests only."""
+        """Place no work until resumed; with ``requests``, still place requests."""
         self.scheduler.paused = not requests
         self.scheduler.requests_only = requests
 
     async def release(self) -> None:
-        """Start nothing more and wait until no start of a task is under way.
+        """Place no more work and wait until no task start is in flight.
 
-        Requests in progress go on; the next owner sees them on the hosts.
+        Requests in progress continue; the next owner finds them in the hosts'
+        inventories.
         """
         self.suspend()
         while any(watch.starting for watch in self.watches.values()):
-            await asyncio.sleep(RELEASE_POLL)
+            await asyncio.sleep(RELEASE_POLL_INTERVAL)
 
     def close(self) -> None:
-        """Stop deciding; what was sent is answered as far as is known.
+        """Stop scheduling; work already sent still gets its reply.
 
-        Requests that still wait are refused as not run, so that the callers'
-        daemons send them to the next owner.
+        Queued requests are refused as not run, so that the daemons that
+        received them from callers send them to the next owner.
         """
         self.closed = True
         self.scheduler.paused = True
-        self.requests.hand_back_unsent()
-        for task in self._tasks - self._sending:
+        self.requests.refuse_unsent()
+        for task in self._tasks - self._in_flight:
             task.cancel()
 
     async def idle(self) -> None:
-        """Wait until every request and start that was sent has its answer."""
-        while self._sending:
-            await asyncio.wait(set(self._sending))
+        """Wait until every request and task start in flight has completed."""
+        while self._in_flight:
+            await asyncio.wait(set(self._in_flight))
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a coroutine until the owner is closed."""
+        """Run a coroutine as a task that is cancelled when the owner is closed.
+
+        Requests and task starts in flight are not cancelled.
+        """
         task = asyncio.get_running_loop().create_task(coro)
         self._tasks.add(task)
-        task.add_done_callback(self._reap)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _reap(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
-        self._sending.discard(task)
+        self._in_flight.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("owner: %s failed", self.shard, exc_info=task.exception())
+            log.error(
+                "owner: background task of shard %s failed",
+                self.shard,
+                exc_info=task.exception(),
+            )
 
     async def _tick(self) -> None:
         while True:
             pause = self.scheduler.next_time() - self.now()
-            await asyncio.sleep(min(max(pause, MIN_TICK_TIME), TICK_TIME))
+            await asyncio.sleep(min(max(pause, MIN_TICK_INTERVAL), TICK_TIME))
             self.run(self.scheduler.tick(self.now()))
 
     def configure(self, cell: Cell, hosts: list[Host]) -> None:
-        """Put another configuration in force."""
+        """Apply a new cell configuration: remove, add and update hosts."""
         now = self.now()
         names = {host.name for host in hosts}
         for name in [name for name in self.watches if name not in names]:
@@ -156,17 +169,21 @@
         """Apply an event of the ``upstream`` chart to a host."""
         self.run(self.scheduler.host_event(name, event, self.now()))
 
-    def go_stale(self) -> None:
-        """Stop placing, since a host has seen a later owner's epoch."""
+    def mark_stale(self) -> None:
+        """Stop placing work after a host has rejected this owner's epoch as stale."""
         if not self.stale:
             self.stale = True
             self.suspend()
-            log.warning("owner: %s was claimed by another daemon", self.shard)
+            log.warning(
+                "owner: a host rejected epoch %d of shard %s as stale; placing no more",
+                self.epoch,
+                self.shard,
+            )
 
     # Effects
 
     def run(self, effects: list[Effect]) -> None:
-        """Carry out what the scheduler has decided, in order."""
+        """Carry out the scheduler's effects in order."""
         for effect in effects:
             match effect:
                 case StartTask():
@@ -175,61 +192,62 @@
                     self.spawn(self._control(effect))
                 case Refused(item=item, refusal=refusal):
                     if item.key in self.requests:
-                        self.requests.refused(item.key, refusal)
+                        self.requests.answer_refused(item.key, refusal)
                     else:
                         self.tasks.record_end(item.key, refusal.reason.value)
                 case Finished(item=item, end=end):
                     if item.key in self.requests:
-                        self.requests.finished(item.key)
+                        self.requests.answer_finished(item.key)
                     else:
-                        self.tasks.finished(item.key, end)
+                        self.tasks.record_finished(item.key, end)
 
     def _start(self, effect: StartTask) -> None:
         item = effect.item
         if item.tries == 1:
-            self.ports.waited(item.workload, self.now() - item.enqueued)
+            self.ports.observe_wait(item.workload, self.now() - item.enqueued)
         if item.workload.kind == "service":
-            self._sending.add(self.spawn(self.requests.send(effect)))
+            self._in_flight.add(self.spawn(self.requests.send(effect)))
             return
         for member, host in enumerate(effect.hosts):
-            # Noted before the first step of the coroutine, since the inventory
-            # being taken in just now may be older than this decision.
+            # Recorded before the coroutine first runs: the inventory being applied
+            # now may be older than this decision and must not end the attempt as
+            # lost.
             self.watches[host].starting.add(attempt_name(effect.attempt, member))
-            self._sending.add(self.spawn(self.tasks.start(effect, member)))
+            self._in_flight.add(self.spawn(self.tasks.start(effect, member)))
 
     async def _control(self, effect: ControlTask) -> None:
         watch = self.watches.get(effect.host)
         if watch is None or effect.key in self.requests:
             return
         attempt = attempt_name(effect.attempt, effect.member)
-        self.ports.count("control", effect.do.value)
+        self.ports.count_event("control", effect.do.value)
         try:
             await self.ports.upstreams.control(
                 watch.host, self.epoch, attempt, effect.do
             )
         except StaleEpochError:
-            self.go_stale()
+            self.mark_stale()
         except (NotSentError, OutcomeUnknownError):
-            watch.again.append(effect)
+            watch.controls_to_retry.append(effect)
 
-    # News for others
+    # State for peers and status pages
 
     def free_slots(self) -> int:
-        """Return the room for one more request, in slots."""
+        """Return the free slots on all hosts; 0 while no work is placed."""
         if self.scheduler.paused:
             return 0
         pools = self.scheduler.shard.pools.values()
         return sum(state.index.free_slots for state in pools)
 
     def waits(self) -> dict[str, float]:
-        """Return the expected wait of each workload that has one, in seconds."""
+        """Return the expected wait in seconds by workload, where above 0.01 s."""
         now = self.now()
         lanes = self.scheduler.shard.waiting.lanes
         waits = {name: lane.expected_wait(now) for name, lane in lanes.items()}
         return {name: round(wait, 2) for name, wait in waits.items() if wait > 0.01}
 
     def used(self) -> tuple[Resources, Resources]:
-        """Return what is given away and the capacity of the open hosts."""
+        """Return the allocated resources and the capacity of all open hosts."""
         used = Resources()
         total = Resources()
         for view in self.scheduler.shard.views():
--- a/siskinroad/ownerview.py
+++ b/siskinroad/ownerview.py
@@ -1,4 +1,4 @@
-"""What the parts of a shard's owner need of it, and it of its daemon."""
+"""Interfaces between a shard's owner, its parts and its daemon."""
 
 from __future__ import annotations
 
@@ -18,41 +18,41 @@
 
 @dataclass(slots=True, frozen=True)
 class OwnerPorts:
-    """What an owner needs of its daemon.
+    """Services of the daemon that a shard's owner uses.
 
     Attributes
     ----------
     may_place : callable
-        Returns whether requests may be sent to the shard's hosts just now.
+        Returns whether requests may be sent to the shard's hosts now.
     is_certain : callable
-        Returns whether tasks may be started there just now.
-    ended : callable
-        Takes job, index and outcome of a task that has ended for good and
-        returns a future that is done once this is on record.
-    count : callable
-        Counts an event by name and label.
-    waited : callable
-        Notes the seconds that an item waited before its start.
+        Returns whether ownership is certain, so that tasks may be started now.
+    record_end : callable
+        Stores the final outcome of a task, given job, task index and outcome;
+        returns a future that is done once it is stored.
+    count_event : callable
+        Counts an event in the metrics, by name and label.
+    observe_wait : callable
+        Adds an item's wait before its start, in seconds, to the metrics.
     """
 
     upstreams: Upstreams
     may_place: Callable[[], bool]
     is_certain: Callable[[], bool]
-    ended: Callable[[str, int, str], asyncio.Future[int]]
-    count: Callable[[str, str], None]
-    waited: Callable[[Workload, float], None]
+    record_end: Callable[[str, int, str], asyncio.Future[int]]
+    count_event: Callable[[str, str], None]
+    observe_wait: Callable[[Workload, float], None]
     rng: random.Random
 
 
 class OwnerView(Protocol):
-    """A shard's owner as its parts see it.
+    """Context that a shard's owner gives its parts.
 
     Attributes
     ----------
     shard, epoch : str, int
-        The claim under which it places work.
+        The claim under which it places work; the epoch is the fencing token.
     closed : bool
-        It decides nothing any more.
+        Whether it has stopped scheduling.
     """
 
     shard: str
@@ -62,16 +62,16 @@
     closed: bool
 
     def now(self) -> float:
-        """Return the loop's time."""
+        """Return the event loop's time in seconds."""
 
     def run(self, effects: list[Effect]) -> None:
-        """Carry out what the scheduler has decided."""
+        """Carry out the scheduler's effects in order."""
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a coroutine until the owner is closed."""
+        """Run a coroutine as a task that is cancelled when the owner is closed."""
 
     def host_event(self, name: str, event: str) -> None:
         """Apply an event of the ``upstream`` chart to a host."""
 
-    def go_stale(self) -> None:
-        """Stop placing, since a host has seen a later owner's epoch."""
+    def mark_stale(self) -> None:
+        """Stop placing work after a host has rejected this owner's epoch as stale."""
--- a/siskinroad/requests.py
+++ b/siskinroad/requests.py
@@ -1,4 +1,4 @@
-"""Callers' requests in the hands of a shard's owner."""
+"""Callers' requests queued or in progress at the owner of a shard."""
 
 from __future__ import annotations
 
@@ -21,25 +21,28 @@
 
 __all__ = ["Requests"]
 
-SERVER_ERROR = 500
-HAND_BACK_PAUSE = 0.1
-FAILED = (Reason.UPSTREAM_FAILED, Reason.RETRIES_EXHAUSTED)
+# Responses with at least this HTTP status count as failed attempts.
+SERVER_ERROR_STATUS = 500
+# Seconds after which a request refused at a handover may be sent again.
+NO_OWNER_RETRY_AFTER = 0.1
+# Refusals for which the upstream's own last answer is returned, if there is one.
+UPSTREAM_FAILURES = (Reason.UPSTREAM_FAILED, Reason.RETRIES_EXHAUSTED)
 
 
 @dataclass(slots=True)
 class _Request:
-    """One request; ``maybe_ran`` once any try of it may have run."""
+    """One request; ``may_have_run`` is set once any attempt may have run."""
 
     fut: asyncio.Future[Answer]
     path: str
     body: bytes
     answer: Answer | None = None
     sent: bool = False
-    maybe_ran: bool = False
+    may_have_run: bool = False
 
 
 class Requests:
-    """The requests that wait for hosts of one shard or are in progress there."""
+    """Table of the requests queued for one shard or in progress on its hosts."""
 
     def __init__(self, owner: WatchedOwner) -> None:
         self.owner = owner
@@ -59,13 +62,13 @@
         Returns
         -------
         asyncio.Future
-            Its result is the upstream's whole answer; it fails with ``Refusal``.
+            Result: the upstream's complete answer. Exception: ``Refusal``.
         """
         owner = self.owner
         now = owner.now()
         fut: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
         if owner.closed:
-            fut.set_exception(_no_owner())
+            fut.set_exception(_no_owner_refusal())
             return fut
         if workload.start_within > 0:
             deadline = min(deadline, now + workload.start_within)
@@ -75,30 +78,30 @@
         return fut
 
     def cancel(self, key: str) -> None:
-        """Cancel a request whose caller no longer waits."""
+        """Cancel a request whose caller has stopped waiting."""
         self.owner.run(self.owner.scheduler.cancel(key, self.owner.now()))
 
-    def hand_back_unsent(self) -> None:
-        """Refuse as not run what was not sent, for the next owner to take."""
+    def refuse_unsent(self) -> None:
+        """Refuse all unsent requests as not run, for the next owner to run."""
         for key, req in list(self._waiting.items()):
             if not req.sent:
-                self.answer(key, _no_owner())
+                self.answer(key, _no_owner_refusal())
 
     async def send(self, effect: StartTask) -> None:
-        """Send a request to its host and take in what became of it."""
+        """Send a request to its host and report the result to the scheduler."""
         owner = self.owner
         item = effect.item
         req = self._waiting[item.key]
-        end = await self._try(effect, req)
+        end = await self._send_once(effect, req)
         req.sent = False
-        req.maybe_ran |= end in (End.UNKNOWN, End.FAILED)
+        req.may_have_run |= end in (End.UNKNOWN, End.FAILED)
         if end is not End.DONE:
-            owner.ports.count("retry", end.value)
+            owner.ports.count_event("retry", end.value)
         owner.run(owner.scheduler.ended(item.key, 0, end, owner.now()))
         if owner.closed and item.state == "waiting":
-            self.answer(item.key, _no_owner())
+            self.answer(item.key, _no_owner_refusal())
 
-    async def _try(self, effect: StartTask, req: _Request) -> End:
+    async def _send_once(self, effect: StartTask, req: _Request) -> End:
         owner = self.owner
         host = owner.watches[effect.hosts[0]].host
         limit = effect.item.workload.timeout
@@ -114,19 +117,22 @@
         except NotSentError:
             return End.NOT_SENT
         except StaleEpochError:
-            owner.go_stale()
+            owner.mark_stale()
             return End.NOT_SENT
         except OutcomeUnknownError:
             return End.UNKNOWN
-        return End.DONE if req.answer.status < SERVER_ERROR else End.FAILED
+        return End.DONE if req.answer.status < SERVER_ERROR_STATUS else End.FAILED
 
-    def refused(self, key: str, refusal: Refusal) -> None:
-        """Answer with a refusal, or with the upstream's own answer if it gave one."""
+    def answer_refused(self, key: str, refusal: Refusal) -> None:
+        """Answer with a refusal, or with the upstream's last answer.
+
+        The upstream's answer takes precedence if the refusal says that it failed.
+        """
         answer = self._waiting[key].answer
-        failed = refusal.reason in FAILED
+        failed = refusal.reason in UPSTREAM_FAILURES
         self.answer(key, answer if failed and answer is not None else refusal)
 
-    def finished(self, key: str) -> None:
+    def answer_finished(self, key: str) -> None:
         """Answer a request that has run or was cancelled while it ran."""
         answer = self._waiting[key].answer
         if answer is None:
@@ -136,12 +142,15 @@
             self.answer(key, answer)
 
     def answer(self, key: str, result: Answer | Refusal) -> None:
-        """Give a request its one answer; doubt about a try is never lost."""
+        """Complete a request exactly once.
+
+        A refusal says that the outcome is unknown if any attempt may have run.
+        """
         req = self._waiting.pop(key)
         if req.fut.done():
             return
         if isinstance(result, Refusal):
-            if req.maybe_ran:
+            if req.may_have_run:
                 result.outcome = Outcome.UNKNOWN
             req.fut.set_exception(result)
             req.fut.exception()
@@ -149,5 +158,5 @@
             req.fut.set_result(result)
 
 
-def _no_owner() -> Refusal:
-    return Refusal(Reason.NO_OWNER, step="owner", retry_after=HAND_BACK_PAUSE)
+def _no_owner_refusal() -> Refusal:
+    return Refusal(Reason.NO_OWNER, step="owner", retry_after=NO_OWNER_RETRY_AFTER)
--- a/siskinroad/shards.py
+++ b/siskinroad/shards.py
@@ -1,4 +1,4 @@
-"""The shards that this daemon owns, from take-over to release."""
+"""Shards owned by this daemon, from takeover to release."""
 
 from __future__ import annotations
 
@@ -41,21 +41,24 @@
 
 __all__ = ["ShardSet"]
 
-CLAIM_TIME = 2.0
-FOREVER = float("inf")
+# Seconds after which the append of a claim record fails; the record may be stored
+# nevertheless.
+CLAIM_APPEND_TIMEOUT = 2.0
+# For records that must be stored however long the log is unavailable.
+NO_TIMEOUT = float("inf")
 
 log = logging.getLogger("siskinroad.shards")
 
 
 class ShardSet:
-    """Carries out what ``Ownership`` decides.
+    """Owners of the shards, kept in line with the decisions of ``Ownership``.
 
     Parameters
     ----------
     appender : Appender
-        Of the data centre's stream.
+        Appender of the data centre's log stream.
     guard : KeyGuard
-        Runs keyed requests.
+        Idempotency guard that runs requests with a key.
     """
 
     def __init__(
@@ -91,17 +94,17 @@
     def _spawn(self, coro: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(coro)
         self._tasks.add(task)
-        task.add_done_callback(self._reap)
+        task.add_done_callback(self._on_task_done)
 
-    def _reap(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("shards: a step failed", exc_info=task.exception())
+            log.error("shards: background task failed", exc_info=task.exception())
 
-    # Configuration, list and records
+    # Configuration, host list and records
 
     def configure(self, cell: Cell) -> None:
-        """Put a configuration in force."""
+        """Apply a cell configuration to every owned shard."""
         self.cell = cell
         self._hosts = cell.shards(self.place.data_centre)
         fencing = {
@@ -115,7 +118,7 @@
                 self._apply_list(owner)
 
     def set_listed(self, listed: dict[str, HostState]) -> None:
-        """Take the platform's list of the data centre's hosts."""
+        """Apply the platform's list of the data centre's hosts."""
         self.listed = listed
         gone = {name for name, state in listed.items() if state is HostState.GONE}
         self.ownership.set_gone(gone)
@@ -133,7 +136,7 @@
                     owner.host_event(name, "rejoin")
 
     def hear_records(self, records: list[Record]) -> None:
-        """Act on records that the ledger has just applied."""
+        """Pass job records that the ledger has just applied to the owners."""
         for record in records:
             match record:
                 case JobAccepted() if record.shard in self.owners:
@@ -145,7 +148,7 @@
                         self.owners[shard].tasks.cancel(record.job)
 
     def hear_snapshot(self) -> None:
-        """Take up the jobs that a snapshot has brought to the ledger."""
+        """Pass the jobs that the ledger took from a snapshot to the owners."""
         for state in list(self.ledger.jobs.values()):
             owner = self.owners.get(state.accepted.shard)
             if owner is None:
@@ -157,16 +160,16 @@
     # Ownership
 
     def tick(self) -> None:
-        """Carry out what ownership asks for now."""
+        """Carry out the ownership decisions that are due."""
         for effect in self.ownership.tick(self._now()):
             self._carry_out(effect)
 
     def _carry_out(self, effect: OwnershipEffect) -> None:
         match effect:
             case Append(record=record):
-                self.appender.put(record, CLAIM_TIME)
+                self.appender.put(record, CLAIM_APPEND_TIMEOUT)
             case TakeShard():
-                self._spawn(self._take(effect))
+                self._spawn(self._take_over(effect))
             case SuspendShard(shard=shard):
                 self._count("suspend")
                 if shard in self.owners:
@@ -185,19 +188,19 @@
     def _count(self, event: str) -> None:
         self.metrics.claims.labels(event).inc()
 
-    async def _take(self, effect: TakeShard) -> None:
+    async def _take_over(self, effect: TakeShard) -> None:
         shard = effect.shard
         hosts = self._hosts.get(shard)
         if self.cell is None or hosts is None:
             return
         self._drop(shard)
-        ports = self._ports(shard)
+        ports = self._make_ports(shard)
         owner = ShardOwner(shard, effect.epoch, self.cell, hosts, ports)
         self.owners[shard] = owner
         self._apply_list(owner)
         homed = self.ledger.jobs.values()
         owner.tasks.restore([state for state in homed if state.accepted.shard == shard])
-        await owner.take()
+        await owner.take_over()
         if self.owners.get(shard) is not owner:
             return
         if not self.ownership.taken(shard, effect.epoch):
@@ -205,23 +208,23 @@
             return
         owner.resume()
         self._count("take")
-        log.info("shards: took %s at epoch %d", shard, effect.epoch)
+        log.info("shards: took over shard %s at epoch %d", shard, effect.epoch)
 
-    def _ports(self, shard: str) -> OwnerPorts:
+    def _make_ports(self, shard: str) -> OwnerPorts:
         return OwnerPorts(
             self.upstreams,
             lambda: self.ownership.may_place(shard, self._now()),
             lambda: self.ownership.is_certain(shard, self._now()),
             self._record_end,
-            self._count_owner,
-            self._note_wait,
+            self._count_owner_event,
+            self._observe_wait,
             self.rng,
         )
 
     def _record_end(self, job: str, index: int, outcome: str) -> asyncio.Future[int]:
-        return self.appender.put(TasksEnded(job, [index], outcome), FOREVER)
+        return self.appender.put(TasksEnded(job, [index], outcome), NO_TIMEOUT)
 
-    def _count_owner(self, name: str, label: str) -> None:
+    def _count_owner_event(self, name: str, label: str) -> None:
         match name:
             case "retry":
                 self.metrics.retries.labels(label).inc()
@@ -230,7 +233,7 @@
             case _:
                 self.metrics.hosts.labels(label).inc()
 
-    def _note_wait(self, workload: Workload, seconds: float) -> None:
+    def _observe_wait(self, workload: Workload, seconds: float) -> None:
         urgency = workload.urgency.name.lower()
         self.metrics.waited.labels(urgency, workload.owner).observe(seconds)
 
@@ -240,8 +243,8 @@
             await owner.release()
         self._drop(effect.shard)
         self._count("release")
-        self.appender.put(ClaimReleased(effect.shard, effect.epoch), FOREVER)
-        log.info("shards: released %s", effect.shard)
+        self.appender.put(ClaimReleased(effect.shard, effect.epoch), NO_TIMEOUT)
+        log.info("shards: released shard %s at epoch %d", effect.shard, effect.epoch)
 
     def _drop(self, shard: str) -> None:
         owner = self.owners.pop(shard, None)
@@ -258,12 +261,13 @@
     # Requests
 
     async def run(self, shard: str, req: Request) -> Answer:
-        """Run a request on an owned shard.
+        """Run a caller's request on an owned shard.
 
         Raises
         ------
         Refusal
-            ``NO_OWNER`` or ``OWNERSHIP_IN_DOUBT`` if it cannot run here.
+            ``NO_OWNER`` if this daemon does not own the shard,
+            ``OWNERSHIP_IN_DOUBT`` if its ownership is uncertain.
         """
         owner = self.owners.get(shard)
         if owner is None:
@@ -273,12 +277,12 @@
         if req.key:
             name = req.workload.name
             return await self.guard.run(
-                req.key, name, req.body, lambda: self._queue(owner, req)
+                req.key, name, req.body, lambda: self._submit_request(owner, req)
             )
-        return await self._queue(owner, req)
+        return await self._submit_request(owner, req)
 
-    async def _queue(self, owner: ShardOwner, req: Request) -> Answer:
-        key = f"r{self.appender.writer}-{self._next()}"
+    async def _submit_request(self, owner: ShardOwner, req: Request) -> Answer:
+        key = f"r{self.appender.writer}-{self._next_sequence()}"
         fut = owner.requests.submit(key, req.workload, req.path, req.body, req.deadline)
         try:
             return await fut
@@ -286,14 +290,14 @@
             owner.requests.cancel(key)
             raise
 
-    def _next(self) -> int:
+    def _next_sequence(self) -> int:
         self._sequence += 1
         return self._sequence
 
-    # News
+    # Updates for peers and routing
 
     def news(self) -> list[ShardNews]:
-        """Return what peers should know of the owned shards."""
+        """Return an update for peers on each owned shard that accepts work."""
         return [
             ShardNews(shard, owner.epoch, owner.free_slots(), owner.waits())
             for shard, owner in self.owners.items()
@@ -301,7 +305,7 @@
         ]
 
     def loads(self) -> list[ShardLoad]:
-        """Return the owned shards as routing sees them."""
+        """Return the loads of the owned shards for routing."""
         now = self._now()
         return [
             ShardLoad(
@@ -318,12 +322,12 @@
 
     @property
     def busy(self) -> int:
-        """Requests in the hands of all owners, retiring ones included."""
+        """Number of requests queued or in progress, including at retiring owners."""
         owners = [*self.owners.values(), *self.retiring]
         return sum(len(owner.requests) for owner in owners)
 
     def close(self) -> None:
-        """Stop everything at once."""
+        """Close every owner and cancel all background tasks without a release."""
         for shard in list(self.owners):
             self._drop(shard)
         for task in list(self._tasks):
--- a/siskinroad/tasks.py
+++ b/siskinroad/tasks.py
@@ -1,4 +1,7 @@
-"""Accepted jobs in the hands of a shard's owner."""
+"""Tasks of accepted jobs at the owner of a shard.
+
+A job is settled once the outcome of each of its tasks is stored.
+"""
 
 from __future__ import annotations
 
@@ -18,27 +21,39 @@
 
 __all__ = ["Tasks"]
 
-SILENT_MARGIN = 1.0
-OUTCOMES = {End.DONE: "done", End.STOPPED: "cancelled"}
+# Seconds beyond ``TASK_LEASE`` to wait for silent hosts after a takeover. Without
+# a margin, a task could be started again while its host still runs it.
+SILENT_HOST_MARGIN = 1.0
+# Stored outcome by the end of an attempt; every other end is stored as "failed".
+OUTCOME_BY_END = {End.DONE: "done", End.STOPPED: "cancelled"}
 
 log = logging.getLogger("siskinroad.tasks")
 
 
 @dataclass(slots=True)
 class _Job:
-    """A job that has not settled; ``ended`` runs ahead of the record.
-
-    ``unrecorded`` counts the ends that are not on record yet.
+    """A job that has not settled.
+
+    Attributes
+    ----------
+    accepted : JobAccepted
+        Its stored record.
+    ended : dict of int to str
+        Outcome by task index, including those that are not stored yet.
+    cancelled : bool
+        Whether the job is cancelled, so that none of its tasks may start.
+    unrecorded_count : int
+        Number of outcomes in ``ended`` that are not stored yet.
     """
 
     accepted: JobAccepted
     ended: dict[int, str] = field(default_factory=dict)
     cancelled: bool = False
-    unrecorded: int = 0
+    unrecorded_count: int = 0
 
 
 class Tasks:
-    """The tasks of the jobs that are homed at one shard."""
+    """Table of the unsettled jobs of one shard and their tasks."""
 
     def __init__(self, owner: WatchedOwner) -> None:
         self.owner = owner
@@ -51,29 +66,29 @@
     def accept(self, state: JobState) -> None:
         """Queue the tasks of an accepted job that have not ended."""
         if state.accepted.job not in self.jobs and not state.settled:
-            self._queue_job(self._note(state))
+            self._queue_job(self._add_job(state))
 
     def restore(self, states: list[JobState]) -> None:
-        """Note the jobs homed here before the hosts are asked what they run."""
+        """Add the shard's unsettled jobs, before the first inventories are fetched."""
         for state in states:
             if not state.settled:
-                self._note(state)
+                self._add_job(state)
 
-    def _note(self, state: JobState) -> _Job:
+    def _add_job(self, state: JobState) -> _Job:
         job = _Job(state.accepted, dict(state.ended), state.cancelled)
         self.jobs[state.accepted.job] = job
         return job
 
     def _queue_job(self, job: _Job) -> None:
         for index in range(job.accepted.count):
-            self._queue(job, index)
+            self._queue_task(job, index)
 
-    def _queue(self, job: _Job, index: int) -> None:
+    def _queue_task(self, job: _Job, index: int) -> None:
         owner = self.owner
         key = f"{job.accepted.job}/{index}"
         if index in job.ended or key in owner.scheduler.shard.items:
             return
-        item = self._item(job, index)
+        item = self._make_item(job, index)
         if item is None:
             self.record_end(key, "refused")
         elif job.cancelled:
@@ -81,7 +96,7 @@
         else:
             owner.run(owner.scheduler.requeue(item, owner.now()))
 
-    def _item(self, job: _Job, index: int) -> Item | None:
+    def _make_item(self, job: _Job, index: int) -> Item | None:
         cell = self.owner.scheduler.shard.cell
         workload = cell.workloads.get(job.accepted.workload)
         if workload is None:
@@ -89,29 +104,38 @@
         key = f"{job.accepted.job}/{index}"
         return Item(key, workload, self.owner.now(), payload=job.accepted.payload)
 
-    def queue_unfound(self) -> None:
-        """Queue what no host runs, once no host can be running it unseen."""
+    def queue_missing(self) -> None:
+        """Queue the tasks that no host runs.
+
+        This waits until each host has answered or its task leases have expired,
+        since a silent host may still run a task.
+        """
         owner = self.owner
         silent = [watch for watch in owner.watches.values() if not watch.answered]
         if silent:
-            wait = TASK_LEASE + SILENT_MARGIN
-            log.info("tasks: %s waits %.0f s for silent hosts", owner.shard, wait)
-            owner.spawn(self._queue_later(silent, owner.now() + wait))
+            wait = TASK_LEASE + SILENT_HOST_MARGIN
+            log.info(
+                "tasks: shard %s waits up to %.0f s for %d silent hosts",
+                owner.shard,
+                wait,
+                len(silent),
+            )
+            owner.spawn(self._queue_after_wait(silent, owner.now() + wait))
             return
         for run in list(owner.scheduler.shard.running.values()):
             owner.run(owner.scheduler.attempts.fail_partial(run))
         for job in list(self.jobs.values()):
             self._queue_job(job)
 
-    async def _queue_later(self, silent: list[HostWatch], until: float) -> None:
-        while self.owner.now() < until and any(not w.cleared for w in silent):
+    async def _queue_after_wait(self, silent: list[HostWatch], until: float) -> None:
+        while self.owner.now() < until and any(not w.is_accounted_for for w in silent):
             await asyncio.sleep(TICK_TIME)
         for watch in silent:
             watch.answered = True
-        self.queue_unfound()
+        self.queue_missing()
 
     def cancel(self, name: str) -> None:
-        """Cancel every task of a job: none starts any more."""
+        """Cancel every task of a job; none is started after this."""
         job = self.jobs.get(name)
         if job is None:
             return
@@ -121,7 +145,11 @@
             self.owner.run(scheduler.cancel(f"{name}/{index}", self.owner.now()))
 
     def adopt(self, name: AttemptName, host: str) -> bool:
-        """Take over a task that a host runs; return whether it is known now."""
+        """Adopt a task that a host reports; return False if it must not run.
+
+        It must not, for example, if its job is unknown or cancelled, or if its
+        outcome is already decided.
+        """
         job_name, index = job_of(name.key)
         job = self.jobs.get(job_name)
         if job is None or index in job.ended or job.cancelled:
@@ -131,7 +159,7 @@
         if item is not None and item.state == "waiting":
             scheduler.attempts.withdraw(item)
             item = None
-        item = item or self._item(job, index)
+        item = item or self._make_item(job, index)
         if item is None:
             return False
         return scheduler.adopt(item, name, host, self.owner.now())
@@ -139,67 +167,67 @@
     # Attempts
 
     async def start(self, effect: StartTask, member: int) -> None:
-        """Start one member on its host."""
+        """Start one member of a task or gang on its host."""
         owner = self.owner
         key = effect.item.key
         watch = owner.watches[effect.hosts[member]]
-        start = _start_of(effect, member)
+        start = _make_task_start(effect, member)
         try:
             if not owner.ports.is_certain():
-                raise NotSentError("claim is not certain", step="owner")
+                raise NotSentError("ownership of the shard is uncertain", step="owner")
             await owner.ports.upstreams.start(watch.host, owner.epoch, start)
             owner.scheduler.started(key)
         except NotSentError:
             self._not_started(key, member)
         except StaleEpochError:
-            owner.go_stale()
+            owner.mark_stale()
             self._not_started(key, member)
         except OutcomeUnknownError:
-            owner.ports.count("retry", "start_unknown")
+            owner.ports.count_event("retry", "start_unknown")
         finally:
             watch.starting.discard(start.attempt)
-            watch.settled_at = owner.now()
+            watch.last_start_ended_at = owner.now()
 
     def _not_started(self, key: str, member: int) -> None:
         owner = self.owner
-        owner.ports.count("retry", End.NOT_SENT.value)
+        owner.ports.count_event("retry", End.NOT_SENT.value)
         owner.run(owner.scheduler.ended(key, member, End.NOT_SENT, owner.now()))
 
-    def finished(self, key: str, end: End) -> None:
-        """Put the end of an item on record."""
-        self.record_end(key, OUTCOMES.get(end, "failed"))
+    def record_finished(self, key: str, end: End) -> None:
+        """Store the end of a task or gang."""
+        self.record_end(key, OUTCOME_BY_END.get(end, "failed"))
 
     def record_end(self, key: str, outcome: str) -> None:
-        """Put the outcome of a task or gang on record."""
+        """Store the outcome of a task or gang."""
         name, index = job_of(key)
         job = self.jobs.get(name)
         if job is None:
             return
         self._unrecorded.add(key)
         job.ended[index] = outcome
-        job.unrecorded += 1
-        fut = self.owner.ports.ended(name, index, outcome)
-        fut.add_done_callback(lambda _: self._recorded(key))
+        job.unrecorded_count += 1
+        fut = self.owner.ports.record_end(name, index, outcome)
+        fut.add_done_callback(lambda _: self._on_recorded(key))
 
-    def _recorded(self, key: str) -> None:
+    def _on_recorded(self, key: str) -> None:
         self._unrecorded.discard(key)
         self._acknowledge_all(key)
         name, _ = job_of(key)
         job = self.jobs[name]
-        job.unrecorded -= 1
-        if not job.unrecorded and len(job.ended) >= job.accepted.count:
+        job.unrecorded_count -= 1
+        if not job.unrecorded_count and len(job.ended) >= job.accepted.count:
             del self.jobs[name]
 
     def outcomes(self, name: str) -> dict[int, str]:
-        """Return the outcomes by index of a job that has not settled here."""
+        """Return the outcomes by task index of an unsettled job; empty if unknown."""
         job = self.jobs.get(name)
         return job.ended if job is not None else {}
 
     def acknowledge(self, key: str, watch: HostWatch, attempt: str) -> None:
-        """Let a host forget an ended attempt once nothing depends on it.
+        """Acknowledge an ended attempt to its host once nothing depends on it.
 
-        A host keeps what it ran until the end of the whole item is on record,
-        or until the item waits for another try.
+        The host keeps the attempt in its inventory until the end of the whole
+        task or gang is stored, or until it is queued for another attempt.
         """
         self._unacked.setdefault(key, []).append((watch, attempt))
         running = key in self.owner.scheduler.shard.running
@@ -208,11 +236,11 @@
 
     def _acknowledge_all(self, key: str) -> None:
         for watch, attempt in self._unacked.pop(key, []):
-            watch.recording.discard(attempt)
+            watch.unrecorded.discard(attempt)
             watch.acked.append(attempt)
 
 
-def _start_of(effect: StartTask, member: int) -> TaskStart:
+def _make_task_start(effect: StartTask, member: int) -> TaskStart:
     item = effect.item
     need = item.workload.demand
     return TaskStart(
