--- a/siskinroad/checks.py
+++ b/siskinroad/checks.py
@@ -1,4 +1,4 @@
-"""A checker for parsed TOML that reports every problem with its place."""
+"""Schema validation of TOML that reports every problem with its key path."""
 
 from __future__ import annotations
 
@@ -13,15 +13,16 @@
 
 __all__ = ["Field", "Reader", "Table", "parse_toml", "read_table"]
 
-NAME = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}")
-ADDRESS = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})")
+NAME_PATTERN = re.compile(r"[a-z0-9][a-z0-9._-]{0,62}")
+ADDRESS_PATTERN = re.compile(r"(\d{1,3})\.(\d{1,3})\.(\d{1,3})\.(\d{1,3}):(\d{1,5})")
 MAX_PORT = 65535
+# Marks a field without a default; None is a valid default.
 MISSING = object()
 
 
 @dataclass(slots=True, frozen=True)
 class Field:
-    """One key of a table.
+    """Schema of one key of a table.
 
     Attributes
     ----------
@@ -29,15 +30,15 @@
         One of ``int``, ``number``, ``str``, ``bool``, ``name``, ``address``,
         ``choice``, ``names``, ``table`` and ``tables``.
     default : object
-        The value of an absent key; a key without default is required.
+        Value of an absent key; a key without a default is required.
     low, high : float
-        Inclusive bounds of a number, or of a string's or array's length.
+        Inclusive bounds of a number, or of the length of a string or array.
     choices : tuple of str
         The allowed values of a ``choice``.
     table : Table or None
         The schema of a ``table`` or of each entry of ``tables``.
     doc : str
-        The sentence printed in the reference.
+        Description printed in the reference page.
     """
 
     kind: str
@@ -54,31 +55,35 @@
         return self.default is MISSING
 
     def allowed(self) -> str:
-        """Return what the key may hold, as text."""
+        """Describe the values that the key may hold."""
         match self.kind:
             case "choice":
                 return "one of " + ", ".join(self.choices)
             case "name":
-                return "a name of a-z, 0-9, '.', '_', '-', at most 63 long"
+                return "a name of a-z, 0-9, '.', '_', '-', at most 63 characters long"
             case "address":
                 return "an IPv4 address and port, such as 127.0.0.1:8000"
             case "names":
-                return f"an array of {_span(self.low, self.high)} names"
+                return (
+                    f"an array of names (length {_format_bounds(self.low, self.high)})"
+                )
             case "tables":
-                return f"an array of {_span(self.low, self.high)} tables"
+                return (
+                    f"an array of tables (length {_format_bounds(self.low, self.high)})"
+                )
             case "table":
                 return "a table"
             case "bool":
                 return "true or false"
             case "str":
-                return f"a string of length {_span(self.low, self.high)}"
+                return f"a string (length {_format_bounds(self.low, self.high)})"
             case "int":
-                return f"a whole number {_span(self.low, self.high)}"
+                return f"a whole number {_format_bounds(self.low, self.high)}"
             case _:
-                return f"a number {_span(self.low, self.high)}"
+                return f"a number {_format_bounds(self.low, self.high)}"
 
 
-def _span(low: float, high: float) -> str:
+def _format_bounds(low: float, high: float) -> str:
     if low == -math.inf and high == math.inf:
         return "of any size"
     if high == math.inf:
@@ -88,7 +93,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Table:
-    """The keys of one table and the sentence that describes it."""
+    """Schema of one table: its description and its keys."""
 
     doc: str
     fields: Mapping[str, Field]
@@ -96,97 +101,99 @@
 
 @dataclass(slots=True)
 class Reader:
-    """Collects problems while values are read."""
+    """Validator that collects problems while it reads values."""
 
     problems: list[Problem] = field(default_factory=list)
 
-    def fault(self, place: str, value: object, allowed: str) -> None:
+    def fault(self, key_path: str, value: object, allowed: str) -> None:
         """Record one problem.
 
         Parameters
         ----------
-        place : str
+        key_path : str
             Dotted path of the key.
         value : object
-            The value found.
+            Value found; at most 80 characters of its repr are kept.
         allowed : str
-            What would be accepted.
+            Description of the values that are accepted.
         """
-        self.problems.append(Problem(place, repr(value)[:80], allowed))
+        self.problems.append(Problem(key_path, repr(value)[:80], allowed))
 
-    def table(self, data: object, table: Table, place: str) -> dict[str, Any]:
-        """Read one table, filling in defaults; unknown keys are problems."""
+    def table(self, data: object, table: Table, key_path: str) -> dict[str, Any]:
+        """Validate one table and fill in defaults; unknown keys are problems."""
         if not isinstance(data, dict):
-            self.fault(place or "file", data, "a table")
+            self.fault(key_path or "file", data, "a table")
             return {}
         for key in data:
             if key not in table.fields:
                 allowed = "one of " + ", ".join(sorted(table.fields))
-                self.fault(_join(place, key), "unknown key", allowed)
+                self.fault(_join_path(key_path, key), "unknown key", allowed)
         return {
-            key: self._value(data, key, spec, _join(place, key))
+            key: self._value(data, key, spec, _join_path(key_path, key))
             for key, spec in table.fields.items()
         }
 
-    def _value(self, data: dict[str, Any], key: str, spec: Field, place: str) -> Any:
+    def _value(self, data: dict[str, Any], key: str, spec: Field, key_path: str) -> Any:
         if key in data:
-            return self.value(data[key], spec, place)
+            return self.value(data[key], spec, key_path)
         if spec.required:
-            self.fault(place, "nothing", spec.allowed())
-            return _empty(spec)
+            self.fault(key_path, "nothing", spec.allowed())
+            return _placeholder_value(spec)
         if spec.kind == "table" and spec.table and spec.default is not None:
-            return self.table(spec.default, spec.table, place)
+            return self.table(spec.default, spec.table, key_path)
         return spec.default
 
-    def value(self, value: object, spec: Field, place: str) -> Any:
-        """Read one value; a wrong one is recorded and replaced by a blank."""
+    def value(self, value: object, spec: Field, key_path: str) -> Any:
+        """Validate one value; record an invalid one and return a placeholder for it."""
         match spec.kind:
             case "table":
                 assert spec.table is not None
-                return self.table(value, spec.table, place)
+                return self.table(value, spec.table, key_path)
             case "tables":
-                return self._tables(value, spec, place)
+                return self._tables(value, spec, key_path)
             case "names":
-                return self._names(value, spec, place)
-        if not _CHECKS[spec.kind](value, spec):
-            self.fault(place, value, spec.allowed())
-            return _empty(spec)
+                return self._names(value, spec, key_path)
+        if not _VALIDATORS[spec.kind](value, spec):
+            self.fault(key_path, value, spec.allowed())
+            return _placeholder_value(spec)
         return value
 
-    def _tables(self, value: object, spec: Field, place: str) -> list[dict[str, Any]]:
+    def _tables(
+        self, value: object, spec: Field, key_path: str
+    ) -> list[dict[str, Any]]:
         assert spec.table is not None
         if not isinstance(value, list) or not spec.low <= len(value) <= spec.high:
-            self.fault(place, value, spec.allowed())
+            self.fault(key_path, value, spec.allowed())
             return []
         table = spec.table
-        return [self.table(v, table, f"{place}[{i}]") for i, v in enumerate(value)]
+        return [self.table(v, table, f"{key_path}[{i}]") for i, v in enumerate(value)]
 
-    def _names(self, value: object, spec: Field, place: str) -> list[str]:
-        good = isinstance(value, list) and all(_is_name(v, spec) for v in value)
-        if not good or not spec.low <= len(value) <= spec.high:  # type: ignore[arg-type]
-            self.fault(place, value, spec.allowed())
+    def _names(self, value: object, spec: Field, key_path: str) -> list[str]:
+        is_name_list = isinstance(value, list) and all(_is_name(v, spec) for v in value)
+        if not is_name_list or not spec.low <= len(value) <= spec.high:  # type: ignore[arg-type]
+            self.fault(key_path, value, spec.allowed())
             return []
         return list(value)  # type: ignore[call-overload]
 
 
-def _join(place: str, key: str) -> str:
-    return f"{place}.{key}" if place else key
+def _join_path(key_path: str, key: str) -> str:
+    return f"{key_path}.{key}" if key_path else key
 
 
-def _empty(spec: Field) -> Any:
-    blanks: dict[str, Any] = {"int": 1, "number": 1.0, "bool": False}
+def _placeholder_value(spec: Field) -> Any:
+    placeholders: dict[str, Any] = {"int": 1, "number": 1.0, "bool": False}
     if spec.kind in ("tables", "names"):
         return []
     if spec.kind == "table":
         return {}
     if spec.kind == "choice":
         return spec.choices[0]
-    return blanks.get(spec.kind, "")
+    return placeholders.get(spec.kind, "")
 
 
 def _is_int(value: object, spec: Field) -> bool:
-    whole = isinstance(value, int) and not isinstance(value, bool)
-    return whole and spec.low <= value <= spec.high  # type: ignore[operator]
+    is_int = isinstance(value, int) and not isinstance(value, bool)
+    return is_int and spec.low <= value <= spec.high  # type: ignore[operator]
 
 
 def _is_number(value: object, spec: Field) -> bool:
@@ -200,18 +207,18 @@
 
 
 def _is_name(value: object, spec: Field) -> bool:
-    return isinstance(value, str) and NAME.fullmatch(value) is not None
+    return isinstance(value, str) and NAME_PATTERN.fullmatch(value) is not None
 
 
 def _is_address(value: object, spec: Field) -> bool:
-    found = ADDRESS.fullmatch(value) if isinstance(value, str) else None
-    if found is None:
+    matched = ADDRESS_PATTERN.fullmatch(value) if isinstance(value, str) else None
+    if matched is None:
         return False
-    *parts, port = (int(part) for part in found.groups())
+    *parts, port = (int(part) for part in matched.groups())
     return all(part <= 255 for part in parts) and port <= MAX_PORT
 
 
-_CHECKS: dict[str, Callable[[object, Field], bool]] = {
+_VALIDATORS: dict[str, Callable[[object, Field], bool]] = {
     "int": _is_int,
     "number": _is_number,
     "str": _is_str,
@@ -237,12 +244,12 @@
 
 
 def read_table(text: str, table: Table, source: str) -> dict[str, Any]:
-    """Parse and check a whole file against one table.
+    """Parse a file and validate it against the schema of its top-level table.
 
     Raises
     ------
     ConfigError
-        With every problem found.
+        If the file is not valid; lists every problem found.
     """
     reader = Reader()
     values = reader.table(parse_toml(text, source), table, "")
--- a/siskinroad/errors.py
+++ b/siskinroad/errors.py
@@ -1,4 +1,4 @@
-"""Typed errors; each carries the step and the peer at which it arose."""
+"""Exceptions of the project; each carries the step and the peer at which it arose."""
 
 from __future__ import annotations
 
@@ -24,14 +24,14 @@
 
 
 class Outcome(StrEnum):
-    """What is known of a request that was not answered by an upstream."""
+    """What is known about a request for which no upstream response was received."""
 
     NOT_RUN = "not run"
     UNKNOWN = "outcome unknown"
 
 
 class Reason(StrEnum):
-    """Why a request or a job was refused; one metric label for each."""
+    """Reason for refusing a request or a job; also a metric label."""
 
     BAD_REQUEST = "bad_request"
     UNAUTHORIZED = "unauthorized"
@@ -59,16 +59,16 @@
 
 
 class SiskinroadError(Exception):
-    """Base class of all errors of the project.
+    """Base class of the project's exceptions.
 
     Parameters
     ----------
     message : str
-        What went wrong, in one short sentence.
+        Short description of the error.
     step : str
-        The step that was being carried out, such as ``"platform.append"``.
+        The operation in progress, such as ``"platform.append"``.
     peer : str
-        The address or name of the other side, empty if there is none.
+        Address or name of the remote side; empty if there is none.
     """
 
     def __init__(self, message: str, *, step: str = "", peer: str = "") -> None:
@@ -84,7 +84,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Problem:
-    """One fault in a checked file: its place, the value and what is allowed."""
+    """One problem in a validated file: key path, value found and values allowed."""
 
     place: str
     value: str
@@ -95,7 +95,7 @@
 
 
 class ConfigError(SiskinroadError):
-    """A settings or cell file is not valid; carries every problem at once."""
+    """A settings or cell file is not valid; lists every problem found."""
 
     def __init__(self, source: str, problems: list[Problem]) -> None:
         lines = "\n".join(f"  {problem}" for problem in problems)
@@ -105,23 +105,24 @@
 
 
 class ConflictError(SiskinroadError):
-    """Another revision was put in force first."""
+    """Another revision was applied first."""
 
 
 class PlatformError(SiskinroadError):
-    """The platform did not answer; an append may have taken effect."""
+    """The platform did not reply; an append may have taken effect."""
 
 
 class LogTrimmedError(PlatformError):
-    """Records before ``first`` are no longer retained."""
+    """Log records before offset ``first`` are no longer retained."""
 
     def __init__(self, first: int, *, peer: str = "") -> None:
-        super().__init__(f"log starts at {first}", step="platform.read", peer=peer)
+        message = f"log records before offset {first} are no longer retained"
+        super().__init__(message, step="platform.read", peer=peer)
         self.first = first
 
 
 class ProtocolError(SiskinroadError):
-    """The other side sent something that is not allowed."""
+    """The remote side violated the protocol."""
 
 
 class AuthError(SiskinroadError):
@@ -129,32 +130,34 @@
 
 
 class NotSentError(SiskinroadError):
-    """Nothing reached the upstream: the request was certainly not run."""
+    """The request was not sent to the upstream, so it certainly did not run."""
 
 
 class OutcomeUnknownError(SiskinroadError):
-    """The request was sent, but no whole answer came back."""
+    """The request was sent, but no complete response was received."""
 
 
 class StaleEpochError(SiskinroadError):
-    """The worker has seen a higher epoch: this daemon owns it no longer."""
+    """The host has seen a higher epoch, so this daemon no longer owns it."""
 
 
 class Refusal(SiskinroadError):
-    """The true answer to a request that has no answer from an upstream.
+    """Refusal of a request that gets no response from an upstream.
 
     Parameters
     ----------
     reason : Reason
-        Why it was refused.
+        Reason for the refusal.
     step : str
-        The step that refused it.
+        The step that refused the request.
     outcome : Outcome
-        ``NOT_RUN`` only where it is certain.
+        ``NOT_RUN`` only if the request certainly did not run.
     retry_after : float
-        Seconds after which a retry is sensible; 0 if never.
+        Seconds after which a retry makes sense; 0 if it never does.
     message : str
-        One sentence for a person.
+        One sentence for a human reader; the reason by default.
+    peer : str
+        Address or name of the remote side; empty if there is none.
     """
 
     def __init__(
--- a/siskinroad/metrics.py
+++ b/siskinroad/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, histograms and gauges of one daemon."""
+"""Prometheus metrics of one daemon."""
 
 from __future__ import annotations
 
@@ -7,40 +7,41 @@
 
 __all__ = ["Metrics"]
 
-WAIT_BUCKETS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.8, 5.0, 30.0, 300.0)
+# Upper bounds of the histogram buckets for the time before work starts, in seconds.
+WAIT_BUCKETS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 1.8, 5.0, 30.0, 300.0)
 
 
 class Metrics:
-    """The metrics of one daemon, in a registry of their own."""
+    """Metrics of one daemon, in a registry of their own."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry(auto_describe=False)
-        self.refusals = self._counter(
+        self.refusals = self._add_counter(
             "siskinroad_refusals", "Requests and jobs refused.", "reason", "step"
         )
-        self.retries = self._counter(
+        self.retries = self._add_counter(
             "siskinroad_retries", "Tries repeated or given up.", "reason"
         )
-        self.controls = self._counter(
+        self.controls = self._add_counter(
             "siskinroad_controls", "Tasks stopped, checkpointed, throttled.", "action"
         )
-        self.hosts = self._counter(
+        self.hosts = self._add_counter(
             "siskinroad_host_events", "Changes in a host's standing.", "event"
         )
-        self.http = self._counter(
+        self.http = self._add_counter(
             "siskinroad_http_refusals", "Requests refused below HTTP.", "reason"
         )
-        self.answers = self._counter(
+        self.answers = self._add_counter(
             "siskinroad_answers", "Whole answers delivered.", "service"
         )
-        self.claims = self._counter(
+        self.claims = self._add_counter(
             "siskinroad_claims", "Changes of ownership.", "event"
         )
         self.waited = Histogram(
             "siskinroad_wait_seconds",
             "Waiting time before work starts.",
             ("urgency", "owner"),
-            buckets=WAIT_BUCKETS,
+            buckets=WAIT_BUCKETS_S,
             registry=self.registry,
         )
         self.packing = Gauge(
@@ -59,9 +60,9 @@
             "siskinroad_revision", "Cell revision in force.", registry=self.registry
         )
 
-    def _counter(self, name: str, text: str, *labels: str) -> Counter:
-        return Counter(name, text, labels, registry=self.registry)
+    def _add_counter(self, name: str, help_text: str, *labels: str) -> Counter:
+        return Counter(name, help_text, labels, registry=self.registry)
 
     def render(self) -> bytes:
-        """Return the metrics in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/siskinroad/settings.py
+++ b/siskinroad/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one daemon: its addresses, its data centre and its limits."""
+"""Settings of one daemon: addresses, location, authentication and limits."""
 
 from __future__ import annotations
 
@@ -11,50 +11,68 @@
 
 __all__ = ["SETTINGS_TABLE", "Peer", "Settings", "hash_token", "parse_settings"]
 
-PEER = Table(
-    "Another daemon, as far as known at the start.",
+PEER_TABLE = Table(
+    "Another daemon that is known at start.",
     {
-        "name": Field("name", doc="Its name."),
-        "address": Field("address", doc="Its peer listener."),
-        "data_centre": Field("name", doc="Its data centre."),
-        "region": Field("name", doc="Its region."),
-        "public_key": Field("str", "", low=0, high=40, doc="CURVE key, Z85."),
+        "name": Field("name", doc="Name of the peer."),
+        "address": Field("address", doc="Peer listener of the peer."),
+        "data_centre": Field("name", doc="Data centre of the peer."),
+        "region": Field("name", doc="Region of the peer."),
+        "public_key": Field("str", "", low=0, high=40, doc="CURVE public key, in Z85."),
     },
 )
 
 SETTINGS_TABLE = Table(
-    "Settings of the daemon, read once at its start.",
+    "Settings of the daemon, read once at start.",
     {
         "name": Field("name", doc="Name of this daemon, unique in the cell."),
-        "data_centre": Field("name", doc="Where it stands."),
-        "region": Field("name", doc="Where it stands."),
+        "data_centre": Field("name", doc="Data centre of this daemon."),
+        "region": Field("name", doc="Region of this daemon."),
         "callers": Field("address", doc="Listener for callers."),
         "operators": Field("address", doc="Listener for operators and metrics."),
         "peer_address": Field("address", doc="Listener for peers."),
         "platform": Field("address", doc="The platform's HTTP service."),
-        "peers": Field("tables", [], table=PEER, low=0, high=1000, doc="Peers."),
-        "public_key": Field("str", "", low=0, high=40, doc="Own CURVE key, Z85."),
-        "secret_key": Field("str", "", low=0, high=40, doc="Own CURVE key, Z85."),
+        "peers": Field("tables", [], table=PEER_TABLE, low=0, high=1000, doc="Peers."),
+        "public_key": Field(
+            "str", "", low=0, high=40, doc="CURVE public key of this daemon, in Z85."
+        ),
+        "secret_key": Field(
+            "str", "", low=0, high=40, doc="CURVE secret key of this daemon, in Z85."
+        ),
         "operator_token_sha256": Field(
-            "str", "", low=0, high=64, doc="SHA-256 of the operators' token, in hex."
+            "str", "", low=0, high=64, doc="SHA-256 of the operator token, in hex."
         ),
         "allow_open": Field(
-            "bool", False, doc="Listen beyond loopback without keys or tokens."
+            "bool",
+            False,
+            doc="Allow listeners beyond loopback without keys or a token.",
         ),
         "max_connections": Field(
-            "int", 512, low=1, high=65536, doc="Of callers at one time."
+            "int",
+            512,
+            low=1,
+            high=65536,
+            doc="Largest number of open caller connections.",
         ),
         "max_waiting_bytes": Field(
-            "int", 8388608, low=65536, high=1 << 32, doc="Bodies held for callers."
+            "int",
+            8388608,
+            low=65536,
+            high=1 << 32,
+            doc="Largest total size of request bodies held for callers, in bytes.",
         ),
         "drain_s": Field(
-            "number", 30.0, low=0, high=3600, doc="Longest wait of a planned stop."
+            "number",
+            30.0,
+            low=0,
+            high=3600,
+            doc="Longest duration of a planned stop, in seconds.",
         ),
         "log_level": Field(
             "choice",
             "info",
             choices=("debug", "info", "warning", "error"),
-            doc="Least severe record that is logged.",
+            doc="Lowest severity that is logged.",
         ),
     },
 )
@@ -62,7 +80,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Peer:
-    """A peer's name, address and place."""
+    """Name, address and location of another daemon."""
 
     name: str
     address: str
@@ -73,7 +91,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """Checked settings; times in seconds, sizes in bytes."""
+    """Validated settings; durations in seconds, sizes in bytes."""
 
     name: str
     data_centre: str
@@ -94,7 +112,7 @@
 
 
 def hash_token(token: str) -> str:
-    """Return the form in which a token is kept."""
+    """Return the SHA-256 of a token in hex, as the settings hold it."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
@@ -102,14 +120,14 @@
     return address.startswith("127.")
 
 
-def _check_open(values: dict[str, Any], reader: Reader) -> None:
+def _check_exposed_listeners(values: dict[str, Any], reader: Reader) -> None:
     if values["allow_open"]:
         return
     if not _is_loopback(values["operators"]) and not values["operator_token_sha256"]:
         allowed = "a loopback address, or operator_token_sha256, or allow_open"
         reader.fault("operators", values["operators"], allowed)
     if not _is_loopback(values["peer_address"]) and not values["secret_key"]:
-        allowed = "a loopback address, or keys, or allow_open"
+        allowed = "a loopback address, or public_key and secret_key, or allow_open"
         reader.fault("peer_address", values["peer_address"], allowed)
 
 
@@ -119,29 +137,35 @@
         if values[key] and len(values[key]) != 40:
             reader.fault(key, f"length {len(values[key])}", "40 characters of Z85")
     if bool(values["public_key"]) != bool(values["secret_key"]):
-        reader.fault("secret_key", "one key alone", "both keys or none")
+        reader.fault(
+            "secret_key",
+            "only one of two keys",
+            "both public_key and secret_key, or neither",
+        )
     for i, peer in enumerate(values["peers"]):
         if bool(values["secret_key"]) != bool(peer["public_key"]):
-            allowed = "a key for each peer, or no keys at all"
+            allowed = "a key for every peer if secret_key is set, otherwise none"
             reader.fault(f"peers[{i}].public_key", peer["public_key"], allowed)
-    token = values["operator_token_sha256"]
-    if token and (len(token) != 64 or set(token) - set("0123456789abcdef")):
+    token_hash = values["operator_token_sha256"]
+    if token_hash and (
+        len(token_hash) != 64 or set(token_hash) - set("0123456789abcdef")
+    ):
         allowed = "64 characters of lower-case hex"
         reader.fault("operator_token_sha256", "…", allowed)
 
 
 def parse_settings(text: str, source: str = "settings") -> Settings:
-    """Check a whole settings file.
+    """Parse and validate a settings file.
 
     Raises
     ------
     ConfigError
-        With every problem found.
+        If the file is not valid; lists every problem found.
     """
     reader = Reader()
     values = reader.table(parse_toml(text, source), SETTINGS_TABLE, "")
     if not reader.problems:
-        _check_open(values, reader)
+        _check_exposed_listeners(values, reader)
         _check_keys(values, reader)
     if reader.problems:
         raise ConfigError(source, reader.problems)
