--- a/siskinroad/__main__.py
+++ b/siskinroad/__main__.py
@@ -1,4 +1,4 @@
-"""Where the program starts, by ``siskinroad`` or ``python -m siskinroad``."""
+"""Program entry point, for ``siskinroad`` and ``python -m siskinroad``."""
 
 import sys
 
@@ -8,7 +8,10 @@
 
 
 def main() -> int:
-    """Run the command line; a daemon keeps its memory small from the start."""
+    """Run the command line and return its exit code.
+
+    A daemon first imports its libraries without unused modules, which saves memory.
+    """
     if sys.argv[1:2] == ["entry"]:
         slim_imports()
     from siskinroad.cli import main as run
--- a/siskinroad/slim.py
+++ b/siskinroad/slim.py
@@ -1,9 +1,9 @@
-"""Keeps out of memory what the daemon's libraries import but it never uses.
+"""Start-up imports without the library modules that the daemon never uses.
 
-``asyncio`` imports TLS, ``hashlib`` the OpenSSL library, and
-``prometheus_client`` a web server for a listener of its own. The daemon speaks
-no TLS, hashes with the interpreter's own code, and serves ``/metrics`` from its
-own listener. Call ``slim_imports`` before anything else is imported.
+``asyncio`` imports TLS, ``hashlib`` imports OpenSSL, and ``prometheus_client`` imports
+a web server for its own listener. The daemon speaks no TLS, hashes with the
+interpreter's built-in code, and serves ``/metrics`` from its own listener. Call
+``slim_imports`` before anything else is imported.
 """
 
 from __future__ import annotations
@@ -13,8 +13,10 @@
 
 __all__ = ["slim_imports"]
 
-ABSENT = ("ssl", "_ssl", "_hashlib")
-PLACEHOLDERS = (
+# Modules whose import fails while asyncio and hashlib are imported; both work without.
+BLOCKED_MODULES = ("ssl", "_ssl", "_hashlib")
+# Modules replaced by stubs while prometheus_client, which requires them, is imported.
+STUBBED_MODULES = (
     "ssl",
     "http.server",
     "socketserver",
@@ -23,8 +25,8 @@
 )
 
 
-class _Placeholder(types.ModuleType):
-    """A module in which every name is an empty class."""
+class _StubModule(types.ModuleType):
+    """Stub module in which every public name is an empty class."""
 
     def __getattr__(self, name: str) -> type:
         if name.startswith("__"):
@@ -33,26 +35,26 @@
 
 
 def slim_imports() -> None:
-    """Import the event loop and the metrics without what they do not need here.
+    """Import asyncio, hashlib and prometheus_client without their unused dependencies.
 
-    Does nothing if they were imported already.
+    Do nothing if asyncio or prometheus_client has already been imported.
     """
     if "asyncio" in sys.modules or "prometheus_client" in sys.modules:
         return
-    for name in ABSENT:
+    for name in BLOCKED_MODULES:
         sys.modules[name] = None  # type: ignore[assignment]
     import asyncio  # noqa: F401
     import hashlib  # noqa: F401
 
-    before = {name: sys.modules.get(name) for name in PLACEHOLDERS}
-    for name in PLACEHOLDERS:
-        sys.modules[name] = _Placeholder(name)
+    previous_modules = {name: sys.modules.get(name) for name in STUBBED_MODULES}
+    for name in STUBBED_MODULES:
+        sys.modules[name] = _StubModule(name)
     import prometheus_client  # noqa: F401
 
-    for name, module in before.items():
+    for name, module in previous_modules.items():
         if module is None:
             sys.modules.pop(name, None)
         else:
             sys.modules[name] = module
-    for name in ABSENT:
+    for name in BLOCKED_MODULES:
         sys.modules.pop(name, None)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Lines that are bounded in rate and memory and never block the loop."""
+"""The bounded log handler: rate limit, buffer limit and non-blocking writes."""
 
 import json
 import logging
@@ -7,42 +7,43 @@
 from siskinroad import logs
 
 
-def make(fd):
+def make_handler(fd):
     handler = logs.BoundedHandler(fd)
-    handler.setFormatter(logs._formatter("d"))
+    handler.setFormatter(logs._make_formatter("d"))
     return handler
 
 
-def record(text, created=1000.0):
-    made = logging.LogRecord("siskinroad.x", logging.INFO, "", 0, text, (), None)
-    made.created = created
-    return made
+def make_record(text, created=1000.0):
+    record = logging.LogRecord("siskinroad.x", logging.INFO, "", 0, text, (), None)
+    record.created = created
+    return record
 
 
-def test_a_reader_that_stops_reading_never_blocks_the_writer():
+def test_stalled_reader_does_not_block_the_writer():
+    # A full pipe would block a plain write, and with it the event loop.
     read, write = os.pipe()
-    handler = make(write)
-    for i in range(int(logs.LINES_AT_ONCE)):
-        handler.emit(record("x" * 2000, 1000.0 + i))
-    assert handler._bytes <= logs.MAX_WAITING_BYTES
+    handler = make_handler(write)
+    for i in range(int(logs.BURST_LINES)):
+        handler.emit(make_record("x" * 2000, 1000.0 + i))
+    assert handler._pending_bytes <= logs.MAX_PENDING_BYTES
     assert handler.dropped > 0
     os.close(read)
     os.close(write)
 
 
-def test_a_flood_is_cut_and_counted():
+def test_lines_beyond_the_rate_limit_are_dropped_and_counted():
     read, write = os.pipe()
-    handler = make(write)
-    count = int(logs.LINES_AT_ONCE) + 50
+    handler = make_handler(write)
+    count = int(logs.BURST_LINES) + 50
     for _ in range(count):
-        handler.emit(record("x"))
-        if handler._waiting:
+        handler.emit(make_record("x"))
+        if handler._pending_lines:
             os.read(read, 65536)
     assert handler.dropped == 50
-    handler.emit(record("later", 1001.0))
+    handler.emit(make_record("later", 1001.0))
     os.set_blocking(read, False)
     data = b""
-    while chunk := _read(read):
+    while chunk := read_available(read):
         data += chunk
     last = json.loads(data.splitlines()[-1])
     assert last["message"] == "later" and last["dropped_lines"] == 50
@@ -50,7 +51,7 @@
     os.close(write)
 
 
-def _read(fd):
+def read_available(fd):
     try:
         return os.read(fd, 65536)
     except BlockingIOError:
--- a/tests/test_slim.py
+++ b/tests/test_slim.py
@@ -1,3 +1,5 @@
+"""Imports of a daemon without the library modules that it never uses."""
+
 import subprocess
 import sys
 
@@ -18,7 +20,7 @@
 """
 
 
-def test_a_daemon_works_without_what_it_does_not_use():
+def test_daemon_modules_and_metrics_work_after_slim_imports():
     done = subprocess.run(
         [sys.executable, "-c", CODE], capture_output=True, text=True, check=False
     )
