--- a/siskinroad/cli.py
+++ b/siskinroad/cli.py
@@ -1,4 +1,4 @@
-"""The command line: one class for each subcommand, each a thin call."""
+"""Command line: one class for each subcommand, on top of `porcelain`."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 __all__ = ["main"]
 
-USAGE = """siskinroad: a cluster scheduler for unlike workloads.
+USAGE = """siskinroad: a cluster scheduler for mixed workloads.
 
 Usage:
   siskinroad entry SETTINGS
@@ -47,23 +47,23 @@
   siskinroad --version
 
 Options:
-  --at=ADDRESS       A daemon's operators' address [default: 127.0.0.1:8081].
-  --to=ADDRESS       A daemon's callers' address [default: 127.0.0.1:8080].
-  --token=TOKEN      Operators' token; else SISKINROAD_TOKEN.
+  --at=ADDRESS       Operator address of a daemon [default: 127.0.0.1:8081].
+  --to=ADDRESS       Caller address of a daemon [default: 127.0.0.1:8080].
+  --token=TOKEN      Operator token; SISKINROAD_TOKEN if not given.
   --expect=REVISION  Apply only if this revision is in force.
-  --count=N          Tasks of the job [default: 1].
-  --key=KEY          Names the job, so that submitting again does no harm.
-  --payload=FILE     Passed to each task.
-  --wait=SECONDS     Wait so long for the job to end [default: 0].
-  --rate=N           Requests a second [default: 50].
-  --seconds=S        How long [default: 10].
-  --bytes=N          Size of a body [default: 1024].
-  --picture=FILE     Write the report as an SVG picture.
+  --count=N          Number of tasks in the job [default: 1].
+  --key=KEY          Idempotency key; a repeated submit creates no second job.
+  --payload=FILE     File whose content is passed to each task.
+  --wait=SECONDS     Longest wait for the job to end [default: 0].
+  --rate=N           Mean number of requests per second [default: 50].
+  --seconds=S        Duration of the load [default: 10].
+  --bytes=N          Size of each request body [default: 1024].
+  --picture=FILE     Also write the report to this file as SVG.
   --json             Print JSON.
 
-Exit codes: 0 done; 1 refused or not valid; 2 wrong usage; 3 another revision won;
-4 outcome unknown or not reached; 5 not yet in force everywhere; 6 a planned stop
-ran out of time; 7 ended by a second signal.
+Exit codes: 0 success; 1 refused or not valid; 2 usage error; 3 another revision was
+applied first; 4 outcome unknown or daemon not reached; 5 not yet in force everywhere;
+6 a planned stop timed out; 7 terminated by a second signal.
 """
 
 EXIT_OK = 0
@@ -71,16 +71,16 @@
 EXIT_USAGE = 2
 EXIT_CONFLICT = 3
 EXIT_UNKNOWN = 4
-EXIT_NOT_EVERYWHERE = 5
+EXIT_PARTLY_IN_FORCE = 5
 
 Args = dict[str, Any]
 
 
-def _print(value: object, as_json: bool, text: str) -> None:
+def _print_result(value: object, as_json: bool, text: str) -> None:
     print(json.dumps(value, indent=2, sort_keys=True) if as_json else text)
 
 
-def _token(args: Args) -> str:
+def _operator_token(args: Args) -> str:
     return args["--token"] or os.environ.get("SISKINROAD_TOKEN", "")
 
 
@@ -88,15 +88,15 @@
     """Run a daemon."""
 
     def run(self, args: Args) -> int:
-        """Run until told to stop."""
+        """Run a daemon until it is told to stop."""
         return porcelain.entry(args["SETTINGS"])
 
 
 class Check:
-    """Check a cell file."""
+    """Validate a cell file."""
 
     def run(self, args: Args) -> int:
-        """Print a summary or every problem."""
+        """Print a summary; an invalid file raises an error with every problem."""
         cell = porcelain.check(args["FILE"])
         hosts = sum(1 for _ in cell.hosts())
         counts = f"{len(cell.owners)} owners, {hosts} hosts"
@@ -105,77 +105,83 @@
 
 
 class Diff:
-    """Show what a cell file would change."""
+    """Show the changes that a cell file would make."""
 
     def run(self, args: Args) -> int:
-        """Print one line for each change."""
-        found = porcelain.compare(args["FILE"], args["--at"], token=_token(args))
-        text = "\n".join(found["diff"]) or "no change"
-        _print(found, args["--json"], text)
+        """Print one line per change."""
+        comparison = porcelain.compare(
+            args["FILE"], args["--at"], token=_operator_token(args)
+        )
+        text = "\n".join(comparison["diff"]) or "no changes"
+        _print_result(comparison, args["--json"], text)
         return EXIT_OK
 
 
 class Apply:
-    """Put a cell file in force."""
+    """Apply a cell file."""
 
     def run(self, args: Args) -> int:
-        """Print where it is in force and where not yet."""
+        """Print the daemons where the revision is in force and where it is not yet."""
         expect = int(args["--expect"]) if args["--expect"] else None
-        done = porcelain.apply(
-            args["FILE"], args["--at"], expect=expect, token=_token(args)
+        result = porcelain.apply(
+            args["FILE"], args["--at"], expect=expect, token=_operator_token(args)
         )
-        text = f"revision {done['revision']} is in force at " + (
-            ", ".join(done["in_force"])
+        text = f"revision {result['revision']} is in force at " + (
+            ", ".join(result["in_force"])
         )
-        if done["not_yet"]:
-            text += "; not yet at " + ", ".join(done["not_yet"])
-        _print(done, args["--json"], text)
-        return EXIT_NOT_EVERYWHERE if done["not_yet"] else EXIT_OK
+        if result["not_yet"]:
+            text += "; not yet at " + ", ".join(result["not_yet"])
+        _print_result(result, args["--json"], text)
+        return EXIT_PARTLY_IN_FORCE if result["not_yet"] else EXIT_OK
 
 
 class Status:
     """Show a daemon and its data centre."""
 
     def run(self, args: Args) -> int:
-        """Print the daemon's state and its shards."""
-        found = porcelain.status(args["--at"], token=_token(args))
-        head = (
-            f"{found['daemon']} in {found['data_centre']}: {found['state']}, "
-            f"revision {found['revision']}, log {found['log']}, "
-            f"reader {found['reader']}, peers {', '.join(found['members']) or 'none'}"
+        """Print the daemon's state and a table of its data centre's shards."""
+        daemon_info = porcelain.status(args["--at"], token=_operator_token(args))
+        heading = (
+            f"{daemon_info['daemon']} in {daemon_info['data_centre']}: "
+            f"{daemon_info['state']}, "
+            f"revision {daemon_info['revision']}, log {daemon_info['log']}, "
+            f"reader {daemon_info['reader']}, "
+            f"peers {', '.join(daemon_info['members']) or 'none'}"
         )
         columns = ["shard", "owner", "state", "epoch", "waiting", "running"]
-        text = head + "\n" + table(columns, found["shards"])
-        _print(found, args["--json"], text)
+        text = heading + "\n" + table(columns, daemon_info["shards"])
+        _print_result(daemon_info, args["--json"], text)
         return EXIT_OK
 
 
 class Queue:
-    """Show what waits."""
+    """Show waiting work."""
 
     def run(self, args: Args) -> int:
-        """Print one line for each lane."""
-        lines = porcelain.queue(args["--at"], token=_token(args))
+        """Print one line per shard and workload with waiting work."""
+        entries = porcelain.queue(args["--at"], token=_operator_token(args))
         columns = ["workload", "owner", "urgency", "waiting", "oldest", "blocked"]
-        _print(lines, args["--json"], table(columns, lines))
+        _print_result(entries, args["--json"], table(columns, entries))
         return EXIT_OK
 
 
 class Report:
-    """Show use, lending and idle cost by owner."""
+    """Show used, borrowed, lent and idle capacity by owner."""
 
     def run(self, args: Args) -> int:
-        """Print the report, and draw it if asked."""
-        from siskinroad.pictures import report_picture
+        """Print the report; with --picture, also write it as SVG."""
+        from siskinroad.pictures import render_report_svg
 
-        found = porcelain.report(args["--at"], token=_token(args))
+        usage_report = porcelain.report(args["--at"], token=_operator_token(args))
         columns = ["owner", "used", "borrowed", "lent", "idle"]
-        text = table(columns, found["lines"])
-        text += f"\ncapacity {found['capacity']} (processor, GiB, accelerator hours)"
-        _print(found, args["--json"], text)
+        text = table(columns, usage_report["lines"])
+        text += (
+            f"\ncapacity {usage_report['capacity']} (processor, GiB, accelerator hours)"
+        )
+        _print_result(usage_report, args["--json"], text)
         if args["--picture"]:
             with open(args["--picture"], "w", encoding="utf-8") as file:
-                file.write(report_picture(found))
+                file.write(render_report_svg(usage_report))
         return EXIT_OK
 
 
@@ -184,7 +190,9 @@
 
     def run(self, args: Args) -> int:
         """Print one sentence."""
-        print(porcelain.explain(args["TASK"], args["--at"], token=_token(args)))
+        print(
+            porcelain.explain(args["TASK"], args["--at"], token=_operator_token(args))
+        )
         return EXIT_OK
 
 
@@ -204,7 +212,7 @@
             key=args["--key"] or "",
             payload=payload,
         )
-        _print(job, True, "")
+        _print_result(job, True, "")
         return EXIT_OK
 
 
@@ -212,9 +220,9 @@
     """Show a job."""
 
     def run(self, args: Args) -> int:
-        """Print its state as JSON."""
+        """Print the job's state as JSON."""
         job = porcelain.watch(args["JOB"], args["--to"], wait=float(args["--wait"]))
-        _print(job, True, "")
+        _print_result(job, True, "")
         return EXIT_OK
 
 
@@ -222,35 +230,35 @@
     """Cancel a job."""
 
     def run(self, args: Args) -> int:
-        """Print its state as JSON."""
-        _print(porcelain.cancel(args["JOB"], args["--to"]), True, "")
+        """Print the job's state as JSON."""
+        _print_result(porcelain.cancel(args["JOB"], args["--to"]), True, "")
         return EXIT_OK
 
 
 class Load:
-    """Send a load to a service and print waiting times."""
+    """Send a load to a service and measure latencies."""
 
     def run(self, args: Args) -> int:
-        """Print the figures."""
+        """Print request counts and latencies."""
         from siskinroad.load import run_load
 
-        found = run_load(
+        results = run_load(
             args["--to"],
             args["SERVICE"],
             float(args["--rate"]),
             float(args["--seconds"]),
             int(args["--bytes"]),
         )
-        rows = [{"figure": k, "value": v} for k, v in found.items()]
-        _print(found, args["--json"], table(["figure", "value"], rows))
+        rows = [{"figure": name, "value": value} for name, value in results.items()]
+        _print_result(results, args["--json"], table(["figure", "value"], rows))
         return EXIT_OK
 
 
 class Demo:
-    """Run daemons with stand-ins, both example cells and a bounded load."""
+    """Run daemons and simulated hosts for both example cells under a limited load."""
 
     def run(self, args: Args) -> int:
-        """Print a table of waiting time, packing and control cost."""
+        """Print a table of latency, packing and control traffic."""
         from siskinroad.demo import run_demo
 
         print(run_demo(float(args["--seconds"])))
@@ -258,10 +266,10 @@
 
 
 class Keys:
-    """Make a pair of peer keys."""
+    """Generate a key pair for the peer listener."""
 
     def run(self, args: Args) -> int:
-        """Print them as settings."""
+        """Print the keys as lines for a settings file."""
         from siskinroad.peers_zmq import new_keys
 
         public, secret = new_keys()
@@ -270,10 +278,10 @@
 
 
 class Token:
-    """Hash an operators' token."""
+    """Hash an operator token."""
 
     def run(self, args: Args) -> int:
-        """Print it as a setting."""
+        """Print the hash as a line for a settings file."""
         from siskinroad.settings import hash_token
 
         print(f'operator_token_sha256 = "{hash_token(args["TOKEN"])}"')
@@ -281,10 +289,10 @@
 
 
 class Reference:
-    """Print the reference of both files."""
+    """Print the reference page of the cell and settings files."""
 
     def run(self, args: Args) -> int:
-        """Print Markdown."""
+        """Print the page as Markdown."""
         from siskinroad.reference import reference
 
         print(reference(), end="")
@@ -312,27 +320,27 @@
 
 
 def main(argv: Sequence[str] | None = None) -> int:
-    """Run one command and return its exit code."""
-    words = list(sys.argv[1:] if argv is None else argv)
+    """Run one subcommand and return its exit code."""
+    arguments = list(sys.argv[1:] if argv is None else argv)
     try:
-        args = docopt(USAGE, words, version=f"siskinroad {__version__}")
+        args = docopt(USAGE, arguments, version=f"siskinroad {__version__}")
     except SystemExit as exc:
         if exc.code:
             print(exc.code, file=sys.stderr)
         return EXIT_USAGE if exc.code else EXIT_OK
     name = next(name for name in COMMANDS if args[name])
-    return _run(COMMANDS[name](), args)
+    return _run_command(COMMANDS[name](), args)
 
 
-def _run(command: Any, args: Args) -> int:
+def _run_command(command: Any, args: Args) -> int:
     try:
         return int(command.run(args))
     except ConflictError as exc:
-        return _fail(exc, EXIT_CONFLICT)
+        return _print_error(exc, EXIT_CONFLICT)
     except ConfigError as exc:
-        return _fail(exc, EXIT_REFUSED)
+        return _print_error(exc, EXIT_REFUSED)
     except (OutcomeUnknownError, NotSentError) as exc:
-        return _fail(exc, EXIT_UNKNOWN)
+        return _print_error(exc, EXIT_UNKNOWN)
     except Refusal as exc:
         text = f"{exc.outcome.value}: {exc}"
         if exc.retry_after:
@@ -340,11 +348,11 @@
         print(f"siskinroad: {text}", file=sys.stderr)
         return EXIT_UNKNOWN if exc.outcome is Outcome.UNKNOWN else EXIT_REFUSED
     except SiskinroadError as exc:
-        return _fail(exc, EXIT_REFUSED)
+        return _print_error(exc, EXIT_REFUSED)
     except (OSError, ValueError) as exc:
-        return _fail(exc, EXIT_USAGE)
+        return _print_error(exc, EXIT_USAGE)
 
 
-def _fail(exc: Exception, code: int) -> int:
+def _print_error(exc: Exception, code: int) -> int:
     print(f"siskinroad: {exc}", file=sys.stderr)
     return code
--- a/siskinroad/demo.py
+++ b/siskinroad/demo.py
@@ -1,4 +1,4 @@
-"""Both example cells on loopback under a bounded load."""
+"""Demonstration: both example cells on loopback under a load of limited duration."""
 
 from __future__ import annotations
 
@@ -16,11 +16,15 @@
 __all__ = ["run_demo"]
 
 SEED = 7
-RATE = 40.0
-BOOKING_RATE = 5.0
-FLOOD = 400
-GANGS = 4
-SECONDS = {
+# Mean request rates to the service without idempotency keys and to the one with them.
+REQUESTS_PER_SECOND = 40.0
+KEYED_REQUESTS_PER_SECOND = 5.0
+# Tasks in each of the jobs that flood the queue.
+FLOOD_TASKS = 400
+# Number of gang jobs.
+GANG_JOBS = 4
+# Mean run time of a task in seconds by workload; 1 s for any other.
+MEAN_RUN_TIMES_S = {
     "quotes": 0.08,
     "slot-check": 0.08,
     "crew-dispatch": 0.1,
@@ -35,8 +39,12 @@
 
 
 @dataclass(slots=True, frozen=True)
-class _Script:
-    """What is asked of one example cell."""
+class _DemoCell:
+    """An example cell and the workloads that the demonstration uses.
+
+    ``requests`` and ``keyed`` are services; the load on ``keyed`` carries idempotency
+    keys. ``flood``, ``single`` and ``gang`` are submitted as jobs.
+    """
 
     file: str
     requests: str
@@ -46,8 +54,8 @@
     gang: str
 
 
-SCRIPTS = (
-    _Script(
+DEMO_CELLS = (
+    _DemoCell(
         "stanova.toml",
         "quotes",
         "crew-dispatch",
@@ -55,7 +63,7 @@
         "floor-plan",
         "festival-render",
     ),
-    _Script(
+    _DemoCell(
         "alrahma.toml",
         "slot-check",
         "booking",
@@ -66,11 +74,11 @@
 )
 
 
-def _duration(workload: str, rng: random.Random) -> float:
-    return SECONDS.get(workload, 1.0) * rng.uniform(0.7, 1.3)
+def _draw_run_time_s(workload: str, rng: random.Random) -> float:
+    return MEAN_RUN_TIMES_S.get(workload, 1.0) * rng.uniform(0.7, 1.3)
 
 
-def _example(name: str) -> str:
+def _read_example(name: str) -> str:
     packaged = resources.files("siskinroad").joinpath("examples", name)
     if packaged.is_file():
         return packaged.read_text()
@@ -78,61 +86,73 @@
 
 
 def run_demo(seconds: float) -> str:
-    """Run both cells for ``seconds`` of load each; return a table."""
-    rows = [asyncio.run(_run(script, seconds)) for script in SCRIPTS]
+    """Run both cells for ``seconds`` of load each and return a table of results."""
+    rows = [asyncio.run(_run_cell(demo_cell, seconds)) for demo_cell in DEMO_CELLS]
     columns = list(rows[0])
     return table(columns, rows)
 
 
-async def _run(script: _Script, seconds: float) -> dict[str, object]:
-    cluster = Cluster(_example(script.file), _duration, SEED)
+async def _run_cell(demo_cell: _DemoCell, seconds: float) -> dict[str, object]:
+    cluster = Cluster(_read_example(demo_cell.file), _draw_run_time_s, SEED)
     await cluster.open()
     try:
         if not await cluster.owned():
-            return {"cell": script.file, "fault": "not every shard has an owner"}
+            return {"cell": demo_cell.file, "fault": "not every shard has an owner"}
         await asyncio.sleep(2.5)
-        return await _measure(cluster, script, seconds)
+        return await _measure_cell(cluster, demo_cell, seconds)
     finally:
         await cluster.close()
 
 
-async def _measure(
-    cluster: Cluster, script: _Script, seconds: float
+async def _measure_cell(
+    cluster: Cluster, demo_cell: _DemoCell, seconds: float
 ) -> dict[str, object]:
-    sent = sum(_sent(cluster).values())
+    sent_before = sum(_sum_sent_bytes(cluster).values())
     loop = asyncio.get_running_loop()
-    began = loop.time()
-    jobs = await _submit(cluster, script)
-    packing = loop.create_task(_packing(cluster, seconds))
+    started_at = loop.time()
+    jobs = await _submit_jobs(cluster, demo_cell)
+    peak_packing = loop.create_task(_measure_peak_packing(cluster, seconds))
     rng = random.Random(SEED)
-    to = cluster.callers
+    addresses = cluster.callers
     urgent, keyed = await asyncio.gather(
-        send_load(to, script.requests, RATE, seconds, 1024, rng),
-        send_load(to, script.keyed, BOOKING_RATE, seconds, 256, rng, "demo-"),
+        send_load(
+            addresses, demo_cell.requests, REQUESTS_PER_SECOND, seconds, 1024, rng
+        ),
+        send_load(
+            addresses,
+            demo_cell.keyed,
+            KEYED_REQUESTS_PER_SECOND,
+            seconds,
+            256,
+            rng,
+            "demo-",
+        ),
     )
-    spent = loop.time() - began
+    elapsed_s = loop.time() - started_at
     daemons = len(cluster.nodes)
-    control = (sum(_sent(cluster).values()) - sent) / spent / daemons
+    peer_bytes_rate = (
+        (sum(_sum_sent_bytes(cluster).values()) - sent_before) / elapsed_s / daemons
+    )
     return {
-        "cell": script.file,
-        "requests": _counts(urgent),
-        "median ms": round(percentile(urgent.times, 0.5) * 1000, 1),
-        "p99 ms": round(percentile(urgent.times, 0.99) * 1000, 1),
-        "keyed": _counts(keyed),
-        "keyed p99 ms": round(percentile(keyed.times, 0.99) * 1000, 1),
+        "cell": demo_cell.file,
+        "requests": _format_counts(urgent),
+        "median ms": round(percentile(urgent.latencies_s, 0.5) * 1000, 1),
+        "p99 ms": round(percentile(urgent.latencies_s, 0.99) * 1000, 1),
+        "keyed": _format_counts(keyed),
+        "keyed p99 ms": round(percentile(keyed.latencies_s, 0.99) * 1000, 1),
         "jobs": jobs,
-        "peak packing": f"{await packing:.0%}",
-        "peer B/s a daemon": round(control),
+        "peak packing": f"{await peak_packing:.0%}",
+        "peer B/s per daemon": round(peer_bytes_rate),
         "appends": cluster.log.appends,
     }
 
 
-def _counts(result: LoadResult) -> str:
+def _format_counts(result: LoadResult) -> str:
     refused = sum(result.refused.values()) + result.errors
-    return f"{len(result.times)} ok, {refused} not"
+    return f"{len(result.latencies_s)} ok, {refused} failed"
 
 
-def _sent(cluster: Cluster) -> dict[str, int]:
+def _sum_sent_bytes(cluster: Cluster) -> dict[str, int]:
     sent: dict[str, int] = {}
     for node in cluster.nodes:
         for kind, size in node.daemon.peers.traffic.sent.items():
@@ -140,30 +160,32 @@
     return sent
 
 
-async def _submit(cluster: Cluster, script: _Script) -> int:
+async def _submit_jobs(cluster: Cluster, demo_cell: _DemoCell) -> int:
     pool = HttpPool()
     accepted = 0
-    wanted = [(script.flood, FLOOD)] * 3 + [(script.gang, 1)] * GANGS
-    wanted.append((script.single, 20))
-    for number, (workload, count) in enumerate(wanted):
+    submissions = [(demo_cell.flood, FLOOD_TASKS)] * 3 + [
+        (demo_cell.gang, 1)
+    ] * GANG_JOBS
+    submissions.append((demo_cell.single, 20))
+    for number, (workload, count) in enumerate(submissions):
         address = cluster.callers[number % len(cluster.callers)]
         target = f"/v1/jobs/{workload}?count={count}"
-        answer = await pool.request(address, "POST", target)
-        accepted += answer.status == 202
+        response = await pool.request(address, "POST", target)
+        accepted += response.status == 202
     pool.close()
     return accepted
 
 
-async def _packing(cluster: Cluster, seconds: float) -> float:
-    """Return the highest part of the given resources of accelerator hosts."""
-    best = 0.0
+async def _measure_peak_packing(cluster: Cluster, seconds: float) -> float:
+    """Return the peak fraction of all accelerators that is allocated to tasks."""
+    peak = 0.0
     for _ in range(int(seconds * 4)):
         await asyncio.sleep(0.25)
         used = total = 0
         for node in cluster.nodes:
             for owner in node.daemon.shards.owners.values():
-                part, whole = owner.used()
-                used += part.accelerators
-                total += whole.accelerators
-        best = max(best, used / total if total else 0.0)
-    return best
+                allocated, capacity = owner.used()
+                used += allocated.accelerators
+                total += capacity.accelerators
+        peak = max(peak, used / total if total else 0.0)
+    return peak
--- a/siskinroad/load.py
+++ b/siskinroad/load.py
@@ -1,4 +1,4 @@
-"""A bounded load of requests with open arrivals, and its waiting times."""
+"""Load generator with open (Poisson) arrivals for a limited time."""
 
 from __future__ import annotations
 
@@ -11,75 +11,86 @@
 
 __all__ = ["LoadResult", "percentile", "run_load", "send_load"]
 
+# Concurrent connections to one daemon. Requests beyond it fail at once as not sent and
+# count as errors.
 MAX_IN_FLIGHT = 256
-REQUEST_TIME = 30.0
-OK = 200
+# Seconds after which a request without a complete response counts as an error.
+REQUEST_TIMEOUT_S = 30.0
+HTTP_OK = 200
 
 
 @dataclass(slots=True)
 class LoadResult:
-    """What a load saw; times in seconds from the arrival to the whole answer."""
+    """Results of a load run.
 
-    times: list[float] = field(default_factory=list)
+    Latencies are in seconds, from sending a request to its complete response.
+    Refusals are counted by HTTP status.
+    """
+
+    latencies_s: list[float] = field(default_factory=list)
     refused: dict[int, int] = field(default_factory=dict)
     errors: int = 0
 
-    def summary(self) -> dict[str, float]:
-        """Return the figures by name."""
+    def summarize(self) -> dict[str, float]:
+        """Return counts and latencies in milliseconds by name."""
         return {
-            "answered": len(self.times),
+            "answered": len(self.latencies_s),
             "refused": sum(self.refused.values()),
             "errors": self.errors,
-            "median_ms": round(percentile(self.times, 0.5) * 1000, 2),
-            "p99_ms": round(percentile(self.times, 0.99) * 1000, 2),
-            "max_ms": round(max(self.times, default=0.0) * 1000, 2),
+            "median_ms": round(percentile(self.latencies_s, 0.5) * 1000, 2),
+            "p99_ms": round(percentile(self.latencies_s, 0.99) * 1000, 2),
+            "max_ms": round(max(self.latencies_s, default=0.0) * 1000, 2),
         }
 
 
-def percentile(values: list[float], part: float) -> float:
-    """Return the value that ``part`` of the values do not exceed; 0 if none."""
+def percentile(values: list[float], fraction: float) -> float:
+    """Return the value below which a fraction of the values lie; 0 if there is none."""
     if not values:
         return 0.0
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(part * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
 async def send_load(
-    to: list[str],
+    addresses: list[str],
     service: str,
     rate: float,
     seconds: float,
-    size: int,
+    body_bytes: int,
     rng: random.Random,
     key_prefix: str = "",
 ) -> LoadResult:
-    """Send requests at random instants to the given daemons in turn.
+    """Send requests with Poisson arrivals to the given daemons in rotation.
 
     Parameters
     ----------
-    to : list of str
-        Callers' addresses.
+    addresses : list of str
+        Addresses of the daemons' caller listeners.
     rate : float
-        Requests a second on average.
-    size : int
-        Bytes of each body.
+        Mean number of requests per second.
+    seconds : float
+        How long new requests are sent.
+    body_bytes : int
+        Size of each request body in bytes.
     key_prefix : str
-        With it, each request carries a key of its own.
+        If not empty, each request carries an idempotency key of its own.
     """
     loop = asyncio.get_running_loop()
     pool = HttpPool(MAX_IN_FLIGHT)
     result = LoadResult()
     tasks: set[asyncio.Task[None]] = set()
-    until = loop.time() + seconds
-    due = loop.time()
+    end = loop.time() + seconds
+    next_arrival = loop.time()
     number = 0
-    while due < until:
-        due += rng.expovariate(rate)
-        await asyncio.sleep(max(0.0, due - loop.time()))
+    while next_arrival < end:
+        next_arrival += rng.expovariate(rate)
+        await asyncio.sleep(max(0.0, next_arrival - loop.time()))
         number += 1
         key = f"{key_prefix}{number}" if key_prefix else ""
-        address = to[number % len(to)]
-        task = loop.create_task(_one(pool, address, service, size, key, result))
+        address = addresses[number % len(addresses)]
+        task = loop.create_task(
+            _send_one_request(pool, address, service, body_bytes, key, result)
+        )
         tasks.add(task)
         task.add_done_callback(tasks.discard)
     if tasks:
@@ -88,34 +99,39 @@
     return result
 
 
-async def _one(
-    pool: HttpPool, to: str, service: str, size: int, key: str, result: LoadResult
+async def _send_one_request(
+    pool: HttpPool,
+    address: str,
+    service: str,
+    body_bytes: int,
+    key: str,
+    result: LoadResult,
 ) -> None:
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     headers = (("idempotency-key", key),) if key else ()
     try:
-        answer = await pool.request(
-            to,
+        response = await pool.request(
+            address,
             "POST",
             f"/v1/services/{service}",
-            body=b"x" * size,
+            body=b"x" * body_bytes,
             headers=headers,
-            limit=REQUEST_TIME,
+            limit=REQUEST_TIMEOUT_S,
         )
     except SiskinroadError:
         result.errors += 1
         return
-    if answer.status == OK:
-        result.times.append(loop.time() - began)
+    if response.status == HTTP_OK:
+        result.latencies_s.append(loop.time() - started_at)
     else:
-        result.refused[answer.status] = result.refused.get(answer.status, 0) + 1
+        result.refused[response.status] = result.refused.get(response.status, 0) + 1
 
 
 def run_load(
-    to: str, service: str, rate: float, seconds: float, size: int
+    address: str, service: str, rate: float, seconds: float, body_bytes: int
 ) -> dict[str, float]:
-    """Send a load to one daemon and return the figures by name."""
+    """Send a load to one daemon and return its counts and latencies by name."""
     rng = random.Random(0)
-    result = asyncio.run(send_load([to], service, rate, seconds, size, rng))
-    return result.summary()
+    result = asyncio.run(send_load([address], service, rate, seconds, body_bytes, rng))
+    return result.summarize()
--- a/siskinroad/porcelain.py
+++ b/siskinroad/porcelain.py
@@ -1,4 +1,4 @@
-"""What operators, callers and scripts call: one plain function for each use."""
+"""Python API for operators, callers and scripts: one function for each operation."""
 
 from __future__ import annotations
 
@@ -42,13 +42,15 @@
     "watch",
 ]
 
-ASK_TIME = 30.0
-TRIES = 3
+# Seconds to wait for a response; waiting for a job's end is added to it.
+REQUEST_TIMEOUT_S = 30.0
+# How often `apply` sends a cell file before it reports a lost response.
+MAX_APPLY_ATTEMPTS = 3
 
 Json = Any
 
 
-def _read(path: str) -> str:
+def _read_text(path: str) -> str:
     try:
         return Path(path).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as exc:
@@ -57,29 +59,29 @@
 
 
 def check(path: str) -> Cell:
-    """Check a cell file.
+    """Parse and validate a cell file.
 
     Raises
     ------
     ConfigError
-        With every problem found.
+        If the file is not valid; lists every problem found.
     """
-    return parse_cell(_read(path), path)
+    return parse_cell(_read_text(path), path)
 
 
 def read_settings(path: str) -> Settings:
-    """Check a settings file.
+    """Parse and validate a settings file.
 
     Raises
     ------
     ConfigError
-        With every problem found.
+        If the file is not valid; lists every problem found.
     """
-    return parse_settings(_read(path), path)
+    return parse_settings(_read_text(path), path)
 
 
 def entry(path: str) -> int:
-    """Run a daemon until it is told to stop; return the exit code."""
+    """Run a daemon until it is told to stop and return its exit code."""
     from siskinroad.listeners import Node, run_node
     from siskinroad.logs import setup_logs
 
@@ -97,9 +99,10 @@
 def apply(
     path: str, at: str, *, expect: int | None = None, token: str = ""
 ) -> dict[str, Json]:
-    """Put a cell file in force.
+    """Apply a cell file.
 
-    Repeating it after a lost answer is harmless, so it is repeated.
+    The request is idempotent, so it is repeated after a lost response, up to
+    ``MAX_APPLY_ATTEMPTS`` times in all.
 
     Returns
     -------
@@ -110,58 +113,60 @@
     ------
     ConfigError, ConflictError, OutcomeUnknownError
     """
-    text = _read(path)
+    text = _read_text(path)
     parse_cell(text, path)
     target = "/v1/cell" + (f"?expect={expect}" if expect is not None else "")
-    answer: dict[str, Json] = {}
-    for left in reversed(range(TRIES)):
+    response: dict[str, Json] = {}
+    for attempts_left in reversed(range(MAX_APPLY_ATTEMPTS)):
         try:
-            answer = _operator("PUT", at, target, token, text.encode())
+            response = _send_operator_request("PUT", at, target, token, text.encode())
             break
         except (OutcomeUnknownError, NotSentError):
-            if not left:
+            if not attempts_left:
                 raise
-    return answer
+    return response
 
 
 def compare(path: str, at: str, *, token: str = "") -> dict[str, Json]:
-    """Return what a cell file would change.
+    """Return the changes that applying a cell file would make.
 
     Raises
     ------
     ConfigError
     """
-    text = _read(path)
+    text = _read_text(path)
     parse_cell(text, path)
-    return _operator("POST", at, "/v1/cell", token, text.encode())
+    return _send_operator_request("POST", at, "/v1/cell", token, text.encode())
 
 
 def status(at: str, *, token: str = "") -> dict[str, Json]:
     """Return a daemon's status."""
-    return _operator("GET", at, "/v1/status", token)
+    return _send_operator_request("GET", at, "/v1/status", token)
 
 
 def queue(at: str, *, token: str = "") -> list[dict[str, Json]]:
-    """Return the lanes in which work waits at a daemon."""
-    lines: list[dict[str, Json]] = _operator("GET", at, "/v1/queue", token)
-    return lines
+    """Return the waiting work at a daemon, one entry per shard and workload."""
+    entries: list[dict[str, Json]] = _send_operator_request(
+        "GET", at, "/v1/queue", token
+    )
+    return entries
 
 
 def report(at: str, *, token: str = "") -> dict[str, Json]:
-    """Return use, lending and idle cost by owner."""
-    return _operator("GET", at, "/v1/report", token)
+    """Return used, borrowed, lent and idle capacity by owner."""
+    return _send_operator_request("GET", at, "/v1/report", token)
 
 
 def explain(task: str, at: str, *, token: str = "") -> str:
-    """Return in a sentence why a task waits, or where it runs or ran."""
+    """Return a sentence that says why a task waits, or where it runs or ran."""
     target = f"/v1/explain/{quote(task, safe='/')}"
-    return str(_operator("GET", at, target, token)["text"])
+    return str(_send_operator_request("GET", at, target, token)["text"])
 
 
 def submit(
     workload: str, at: str, *, count: int = 1, key: str = "", payload: bytes = b""
 ) -> dict[str, Json]:
-    """Submit a job; it is on record when this returns.
+    """Submit a job; it is stored when this returns.
 
     Raises
     ------
@@ -169,20 +174,22 @@
     """
     headers = (("idempotency-key", key),) if key else ()
     target = f"/v1/jobs/{quote(workload)}?count={count}"
-    return _caller("POST", at, target, payload, headers)
+    return _send_caller_request("POST", at, target, payload, headers)
 
 
 def watch(job: str, at: str, *, wait: float = 0.0) -> dict[str, Json]:
-    """Return a job's state, once it has ended or ``wait`` seconds are over."""
-    return _caller("GET", at, f"/v1/jobs/{quote(job)}?wait={wait:g}", wait=wait)
+    """Return a job's state when it has ended, or after ``wait`` seconds."""
+    return _send_caller_request(
+        "GET", at, f"/v1/jobs/{quote(job)}?wait={wait:g}", wait=wait
+    )
 
 
 def cancel(job: str, at: str) -> dict[str, Json]:
-    """Cancel a job."""
-    return _caller("DELETE", at, f"/v1/jobs/{quote(job)}")
+    """Cancel a job and return its state."""
+    return _send_caller_request("DELETE", at, f"/v1/jobs/{quote(job)}")
 
 
-def _ask(
+def _send_request(
     method: str,
     at: str,
     target: str,
@@ -192,38 +199,45 @@
 ) -> tuple[int, Json]:
     async def main() -> tuple[int, Json]:
         pool = HttpPool()
-        answer = await pool.request(
+        response = await pool.request(
             at, method, target, body=body, headers=headers, limit=limit
         )
         pool.close()
-        return answer.status, msgspec.json.decode(answer.body or b"null")
+        return response.status, msgspec.json.decode(response.body or b"null")
 
     try:
         return asyncio.run(main())
     except msgspec.MsgspecError as exc:
-        raise SiskinroadError("the answer is not JSON", step=target, peer=at) from exc
+        raise SiskinroadError(
+            "response body is not valid JSON", step=target, peer=at
+        ) from exc
 
 
-def _operator(method: str, at: str, target: str, token: str, body: bytes = b"") -> Json:
+def _send_operator_request(
+    method: str, at: str, target: str, token: str, body: bytes = b""
+) -> Json:
     headers = (("authorization", f"Bearer {token}"),) if token else ()
-    code, answer = _ask(method, at, target, body, headers, ASK_TIME)
+    code, response = _send_request(method, at, target, body, headers, REQUEST_TIMEOUT_S)
     match code:
         case 200:
-            return answer
+            return response
         case 409:
-            raise ConflictError(answer["error"], step=target, peer=at)
+            raise ConflictError(response["error"], step=target, peer=at)
         case 422:
-            lines = answer.get("problems", [])
+            lines = response.get("problems", [])
             problems = [
-                Problem("cell", str(line), "see the reference") for line in lines
+                Problem(
+                    "cell", str(line), "the values listed by `siskinroad reference`"
+                )
+                for line in lines
             ]
             raise ConfigError(at, problems)
         case 504:
-            raise OutcomeUnknownError(answer["error"], step=target, peer=at)
-    raise SiskinroadError(str(answer), step=target, peer=at)
+            raise OutcomeUnknownError(response["error"], step=target, peer=at)
+    raise SiskinroadError(str(response), step=target, peer=at)
 
 
-def _caller(
+def _send_caller_request(
     method: str,
     at: str,
     target: str,
@@ -231,14 +245,16 @@
     headers: tuple[tuple[str, str], ...] = (),
     wait: float = 0.0,
 ) -> dict[str, Json]:
-    code, answer = _ask(method, at, target, body, headers, ASK_TIME + wait)
+    code, response = _send_request(
+        method, at, target, body, headers, REQUEST_TIMEOUT_S + wait
+    )
     if code in (200, 202):
-        return dict(answer)
+        return dict(response)
     raise Refusal(
-        Reason(answer["reason"]),
-        step=answer["step"],
-        outcome=Outcome(answer["outcome"]),
-        retry_after=answer["retry_after"],
-        message=answer["message"],
+        Reason(response["reason"]),
+        step=response["step"],
+        outcome=Outcome(response["outcome"]),
+        retry_after=response["retry_after"],
+        message=response["message"],
         peer=at,
     )
--- a/siskinroad/tables.py
+++ b/siskinroad/tables.py
@@ -1,4 +1,4 @@
-"""Plain text tables."""
+"""Plain-text tables."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def table(columns: Sequence[str], rows: Sequence[Mapping[str, Any]]) -> str:
-    """Return rows as aligned text under their column names."""
+    """Format rows as left-aligned text columns under a header line."""
     cells = [[str(row.get(column, "")) for column in columns] for row in rows]
     widths = [
         max([len(column), *(len(line[i]) for line in cells)])
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -1,4 +1,4 @@
-"""Commands that need no daemon, and their exit codes."""
+"""Subcommands that need no running daemon, and their exit codes."""
 
 import pytest
 
@@ -21,22 +21,22 @@
     assert main(["check", str(tmp_path / "none.toml")]) == 1
 
 
-@pytest.mark.parametrize("words", [["fly"], [], ["apply"], ["check", "a", "b"]])
-def test_wrong_usage(words, capsys):
-    assert main(words) == 2
+@pytest.mark.parametrize("arguments", [["fly"], [], ["apply"], ["check", "a", "b"]])
+def test_usage_error_exits_with_code_2(arguments, capsys):
+    assert main(arguments) == 2
     assert "Usage:" in capsys.readouterr().err
 
 
-def test_a_daemon_that_is_not_there(tmp_path, capsys):
-    nobody = free_addresses(1)[0]
-    assert main(["status", f"--at={nobody}"]) == 4
+def test_unreachable_daemon_exits_with_code_4(tmp_path, capsys):
+    unused_address = free_addresses(1)[0]
+    assert main(["status", f"--at={unused_address}"]) == 4
     cell = tmp_path / "cell.toml"
     cell.write_text(small_cell())
-    assert main(["apply", str(cell), f"--at={nobody}"]) == 4
-    assert nobody in capsys.readouterr().err
+    assert main(["apply", str(cell), f"--at={unused_address}"]) == 4
+    assert unused_address in capsys.readouterr().err
 
 
-def test_bad_settings_name_every_fault(tmp_path, capsys):
+def test_invalid_settings_report_every_problem(tmp_path, capsys):
     file = tmp_path / "entry.toml"
     file.write_text('name = "a b"\ncallers = "here"\nextra = 1\n')
     assert main(["entry", str(file)]) == 1
@@ -47,7 +47,7 @@
     assert "platform: got 'nothing'" in err
 
 
-def test_keys_tokens_and_the_reference(capsys):
+def test_keys_token_reference_and_version(capsys):
     assert main(["token", "word"]) == 0
     assert hash_token("word") in capsys.readouterr().out
     assert main(["keys"]) == 0
