--- a/siskinroad/errors.py
+++ b/siskinroad/errors.py
@@ -116,8 +116,11 @@
     """Log records before offset ``first`` are no longer retained."""
 
     def __init__(self, first: int, *, peer: str = "") -> None:
-        message = f"log records before offset {first} are no longer retained"
-        super().__init__(message, step="platform.read", peer=peer)
+        super().__init__(
+            f"log records before offset {first} are no longer retained",
+            step="platform.read",
+            peer=peer,
+        )
         self.first = first
 
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -21,9 +21,9 @@
     assert main(["check", str(tmp_path / "none.toml")]) == 1
 
 
-@pytest.mark.parametrize("arguments", [["fly"], [], ["apply"], ["check", "a", "b"]])
-def test_usage_error_exits_with_code_2(arguments, capsys):
-    assert main(arguments) == 2
+@pytest.mark.parametrize("words", [["fly"], [], ["apply"], ["check", "a", "b"]])
+def test_usage_error_exits_with_code_2(words, capsys):
+    assert main(words) == 2
     assert "Usage:" in capsys.readouterr().err
 
 
