--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benches, the fault driver and what they share; not part of the product."""
+"""Benchmarks, fault injection and their shared test environment; not shipped."""
--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -1,4 +1,4 @@
-"""Policies to compare with: what the product would be without its decisions."""
+"""Baseline scheduling policies that the benchmarks compare the scheduler with."""
 
 from __future__ import annotations
 
@@ -12,7 +12,11 @@
 
 
 class Baseline:
-    """One queue in front of hosts; declared sizes are believed."""
+    """Base of the baseline policies: hosts, running items and their resources.
+
+    It has the interface of ``Scheduler``. Declared demands are taken as the true
+    ones: usage reports, host events and ticks change nothing.
+    """
 
     def __init__(self, cell: Cell) -> None:
         self.cell = cell
@@ -39,7 +43,7 @@
     def started(self, key: str) -> None:
         return None
 
-    def begin(self, item: Item, views: list[HostView], now: float) -> StartTask:
+    def start_item(self, item: Item, views: list[HostView], now: float) -> StartTask:
         index = self.indexes[item.workload.pool]
         for member, view in enumerate(views):
             task = f"{item.key}~{member}"
@@ -56,8 +60,8 @@
         item, views = self.running[key]
         index = self.indexes[item.workload.pool]
         index.give_back(views[member], f"{key}~{member}", item.workload.name)
-        left = [f"{key}~{m}" for m in range(item.workload.size)]
-        if any(task in views[m].tasks for m, task in enumerate(left)):
+        member_tasks = [f"{key}~{m}" for m in range(item.workload.size)]
+        if any(task in views[m].tasks for m, task in enumerate(member_tasks)):
             return list(self.dispatch(now))
         del self.running[key]
         return [Finished(item, end), *self.dispatch(now)]
@@ -67,7 +71,7 @@
 
 
 class FirstCome(Baseline):
-    """First come, first served, first host that fits."""
+    """First come, first served, on the first host with enough free capacity."""
 
     def __init__(self, cell: Cell) -> None:
         super().__init__(cell)
@@ -81,35 +85,35 @@
         started = []
         for pool, queue in self.queues.items():
             while queue:
-                views = self._first(pool, queue[0])
+                views = self._find_first_fit(pool, queue[0])
                 if views is None:
                     break
-                started.append(self.begin(queue.popleft(), views, now))
+                started.append(self.start_item(queue.popleft(), views, now))
         return started
 
-    def _first(self, pool: str, item: Item) -> list[HostView] | None:
+    def _find_first_fit(self, pool: str, item: Item) -> list[HostView] | None:
         views: list[HostView] = []
         need = item.workload.demand
         for view in self.indexes[pool].hosts.values():
-            room = min(view.count(need), item.workload.size - len(views))
-            views += [view] * room
+            member_count = min(view.count(need), item.workload.size - len(views))
+            views += [view] * member_count
             if len(views) == item.workload.size:
                 return views
         return None
 
 
 class StrictPriority(Baseline):
-    """Strict priority by class, then by arrival, on the tightest host."""
+    """Strict priority by urgency, then by arrival, on the best-fitting host."""
 
     def __init__(self, cell: Cell) -> None:
         super().__init__(cell)
         self.queues: dict[str, list[tuple[int, int, Item]]] = {}
-        self.number = 0
+        self.arrival_count = 0
 
     def submit(self, item: Item, now: float) -> list[Effect]:
-        self.number += 1
+        self.arrival_count += 1
         queue = self.queues.setdefault(item.workload.pool, [])
-        heapq.heappush(queue, (int(item.workload.urgency), self.number, item))
+        heapq.heappush(queue, (int(item.workload.urgency), self.arrival_count, item))
         return list(self.dispatch(now))
 
     def dispatch(self, now: float) -> list[StartTask]:
@@ -128,5 +132,5 @@
                 if not views:
                     break
                 heapq.heappop(queue)
-                started.append(self.begin(item, views, now))
+                started.append(self.start_item(item, views, now))
         return started
--- a/bench/clock.py
+++ b/bench/clock.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock is paused: it jumps to the next timer."""
+"""An event loop with a paused clock: time advances straight to the next timer."""
 
 from __future__ import annotations
 
@@ -10,8 +10,11 @@
 T = TypeVar("T")
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """Polls real sockets without waiting; waiting time passes at once."""
+class _AutoAdvanceSelector(selectors.SelectSelector):
+    """Selector that polls sockets without blocking and advances the clock instead.
+
+    ``now`` is the loop time in seconds.
+    """
 
     def __init__(self) -> None:
         super().__init__()
@@ -21,23 +24,27 @@
         ready = super().select(0)
         if not ready:
             if timeout is None:
-                raise RuntimeError("the loop waits for something that never comes")
+                raise RuntimeError(
+                    "deadlock: no I/O is ready and no timer is scheduled"
+                )
             self.now += timeout
         return ready
 
 
-class PausedLoop(asyncio.SelectorEventLoop):
+class PausedClockLoop(asyncio.SelectorEventLoop):
+    """Event loop whose time is that of its selector."""
+
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._selector_clock = _AutoAdvanceSelector()
+        super().__init__(self._selector_clock)
 
     def time(self) -> float:
-        return self._jumping.now
+        return self._selector_clock.now
 
 
 def run(coro: Coroutine[Any, Any, T]) -> T:
-    """Run a coroutine to its end on a paused clock."""
-    loop = PausedLoop()
+    """Run a coroutine to its end on a paused clock; cancel the tasks that it leaves."""
+    loop = PausedClockLoop()
     try:
         asyncio.set_event_loop(loop)
         return loop.run_until_complete(coro)
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -1,4 +1,4 @@
-"""The decisions measured against their targets and against two baselines.
+"""Benchmark of scheduling decisions against their targets and two baselines.
 
 ``python -m bench.decisions [--quick] [--json FILE] [--plot FILE]``
 """
@@ -26,9 +26,10 @@
 SEED = 3
 POLICIES = ("siskinroad", "first come", "strict priority")
 
-# Stated targets
-URGENT_WITHIN = 1.8
-URGENT_PART = 0.999
+# Targets. Times are in seconds; the other values are ratios, except the rate
+# DECISIONS_A_SECOND.
+URGENT_WAIT_LIMIT = 1.8
+URGENT_FRACTION = 0.999
 URGENT_MEDIAN = 0.050
 FLOOD_RATIO = 1.2
 THROUGHPUT = 0.95
@@ -39,7 +40,7 @@
 GROWTH = 2.0
 
 
-def policy_of(name: str, cell: Cell) -> Any:
+def create_policy(name: str, cell: Cell) -> Any:
     match name:
         case "siskinroad":
             return Scheduler(cell, random.Random(SEED), 0.0)
@@ -49,7 +50,7 @@
             return StrictPriority(cell)
 
 
-def _hosts(count: int, rack: int) -> str:
+def _host_tables(count: int, rack: int) -> str:
     return "".join(
         f'[[upstreams.hosts]]\nname = "h{i}"\n'
         f'address = "127.0.{i // 200}.{i % 200 + 1}:7000"\n'
@@ -58,26 +59,30 @@
     )
 
 
-def _cell(pool: str, hosts: str, owners: dict[str, float], work: str) -> Cell:
+def _parse_bench_cell(
+    pool: str, hosts: str, owners: dict[str, float], work: str
+) -> Cell:
     text = 'name = "bench"\n[[regions]]\nname = "r"\ndata_centres = ["d"]\n'
     for name, weight in owners.items():
         text += f'[[owners]]\nname = "{name}"\nweight = {weight}\n'
     return parse_cell(text + f'[[upstreams]]\nname = "p"\n{pool}\n{hosts}{work}')
 
 
-def _work(kind: str, name: str, owner: str, urgency: str, **keys: object) -> str:
+def _workload_table(
+    kind: str, name: str, owner: str, urgency: str, **keys: object
+) -> str:
     lines = [f"[[{kind}]]", f'name = "{name}"', f'owner = "{owner}"', 'upstream = "p"']
     lines.append(f'urgency = "{urgency}"')
     lines += [f"{k} = {str(v).lower()}" for k, v in keys.items()]
     return "\n".join(lines) + "\n"
 
 
-def _usage(item: Item) -> tuple[int, int]:
+def _declared_usage(item: Item) -> tuple[int, int]:
     need = item.workload.demand
     return need.cpu_milli, need.memory_mib
 
 
-# Urgent work under a flood
+# Urgent requests during a flood of background work
 
 DEPLOYMENTS = {
     "stanova booking": (6, "cpu = 32\nmemory_gib = 128"),
@@ -88,29 +93,34 @@
 def urgent_cell(deployment: str) -> Cell:
     count, pool = DEPLOYMENTS[deployment]
     demand = "{ cpu = 2, memory_gib = 4 }"
-    work = _work("services", "quote", "desk", "urgent", demand=demand)
-    work += _work("services", "roster", "desk", "standard", demand=demand)
+    work = _workload_table("services", "quote", "desk", "urgent", demand=demand)
+    work += _workload_table("services", "roster", "desk", "standard", demand=demand)
     paper = {"demand": demand, "checkpoint": True, "run_time_s": 2}
     paper["queue_limit"] = 50_000
-    work += _work("batch", "paper", "records", "background", **paper)
-    work += _work("batch", "flood", "records", "background", **paper)
-    return _cell(pool, _hosts(count, 5), {"desk": 3, "records": 1}, work)
+    work += _workload_table("batch", "paper", "records", "background", **paper)
+    work += _workload_table("batch", "flood", "records", "background", **paper)
+    return _parse_bench_cell(
+        pool, _host_tables(count, 5), {"desk": 3, "records": 1}, work
+    )
 
 
+# Offered load of each stream, as a fraction of the capacity of all hosts.
 URGENT_LOAD = 0.45
 STANDARD_LOAD = 0.15
 PAPER_LOAD = 0.30
+# Mean run times, in seconds.
 QUOTE_TIME = 0.3
 PAPER_TIME = 2.0
-# Items and seconds of the flood whose waits are drawn.
+# Flood size (items) and run length (seconds) of the plotted waits.
 PLOTTED_FLOOD = (4000, 300.0)
+# Flood: number of items, mean run time and arrival instant in seconds.
 FLOOD_ITEMS = 20_000
 FLOOD_TIME = 0.2
 FLOOD_AT = 60.0
 
 
-def _tail(rng: random.Random, mean: float, sigma: float = 1.0) -> float:
-    """Return a log-normal time with the given mean."""
+def _lognormal_time(rng: random.Random, mean: float, sigma: float = 1.0) -> float:
+    """Draw a log-normal time with the given mean, in the unit of the mean."""
     return rng.lognormvariate(math.log(mean) - sigma * sigma / 2, sigma)
 
 
@@ -120,7 +130,7 @@
     quote = bursts(rng, URGENT_LOAD * slots / QUOTE_TIME, until, 60.0, 1.5)
     roster = poisson(rng, STANDARD_LOAD * slots / QUOTE_TIME, until)
     paper = poisson(rng, PAPER_LOAD * slots / PAPER_TIME, until)
-    # Each stream is drawn by itself, so that a flood changes no other one.
+    # Each stream is drawn on its own, so that the flood leaves the others unchanged.
     merged = [(at, "quote") for at in quote]
     merged += [(at, "roster") for at in roster]
     merged += [(at, "paper") for at in paper]
@@ -142,9 +152,11 @@
     def seconds(item: Item) -> float:
         name = item.workload.name
         sigma = 0.5 if name == "flood" else 1.0
-        return _tail(random.Random(f"{SEED}{item.key}"), means[name], sigma)
+        return _lognormal_time(random.Random(f"{SEED}{item.key}"), means[name], sigma)
 
-    driver = Driver(policy_of(policy, cell), cell, seconds, _usage, warm=30.0)
+    driver = Driver(
+        create_policy(policy, cell), cell, seconds, _declared_usage, warm=30.0
+    )
     return driver.run(urgent_arrivals(cell, flood, until), until)
 
 
@@ -178,7 +190,7 @@
     deployment: str, policy: str, calm: Result, full: Result, flood: int
 ) -> dict[str, Any]:
     waits = full.waits["quote"]
-    late = sum(1 for wait in waits if wait > URGENT_WITHIN)
+    late = sum(1 for wait in waits if wait > URGENT_WAIT_LIMIT)
     quiet = percentile(calm.waits["quote"], 0.99)
     loud = percentile(waits, 0.99)
     done = full.finished.get("flood", 0)
@@ -210,15 +222,16 @@
             f"{{ cpu = {3 * size}, memory_gib = {12 * size}, accelerators = {size} }}"
         )
         keys = {"demand": demand, "run_time_s": 60, "checkpoint": size == 1}
-        work += _work("batch", f"single{size}", "layouts", "standard", **keys)
+        work += _workload_table("batch", f"single{size}", "layouts", "standard", **keys)
     demand = "{ cpu = 3, memory_gib = 12, accelerators = 1 }"
     for size in (4, 8, 16):
         keys = {"demand": demand, "run_time_s": 90, "size": size}
-        work += _work("gangs", f"gang{size}", "layouts", "standard", **keys)
-    return _cell(pool, _hosts(hosts, 3), {"layouts": 1}, work)
+        work += _workload_table("gangs", f"gang{size}", "layouts", "standard", **keys)
+    return _parse_bench_cell(pool, _host_tables(hosts, 3), {"layouts": 1}, work)
 
 
-MIX = {
+# Fraction of arrivals by workload.
+ARRIVAL_MIX = {
     "single1": 0.45,
     "single2": 0.2,
     "single4": 0.1,
@@ -229,16 +242,16 @@
 
 
 def packing_arrivals(cell: Cell, until: float) -> Iterator[Arrival]:
-    """Yield enough work to keep a backlog all the time."""
+    """Yield an initial backlog, then 1.3 times the work that the hosts can run."""
     rng = random.Random(SEED)
     hosts = sum(1 for _ in cell.hosts())
     mean = sum(
         part * cell.workloads[n].size * cell.workloads[n].demand.accelerators * 60
-        for n, part in MIX.items()
+        for n, part in ARRIVAL_MIX.items()
     )
     rate = hosts * 8 / mean
     backlog = [0.0] * (hosts * 30)
-    names, parts = list(MIX), list(MIX.values())
+    names, parts = list(ARRIVAL_MIX), list(ARRIVAL_MIX.values())
     times = [*backlog, *poisson(rng, rate * 1.3, until)]
     for number, at in enumerate(times):
         name = rng.choices(names, parts)[0]
@@ -248,21 +261,23 @@
 def run_packing(policy: str, hosts: int, until: float) -> Result:
     cell = packing_cell(hosts)
     rng = random.Random(SEED)
-    off = {name: 4 ** rng.uniform(-1, 1) for name in MIX}
-    off["single1"], off["gang8"] = 4.0, 0.25
-    slow = {name: 4 ** rng.uniform(-1, 1) for name in MIX}
+    usage_factors = {name: 4 ** rng.uniform(-1, 1) for name in ARRIVAL_MIX}
+    usage_factors["single1"], usage_factors["gang8"] = 4.0, 0.25
+    run_time_factors = {name: 4 ** rng.uniform(-1, 1) for name in ARRIVAL_MIX}
 
     def seconds(item: Item) -> float:
         own = random.Random(f"{SEED}{item.key}")
-        return _tail(own, item.workload.run_time * slow[item.workload.name], 0.6)
+        return _lognormal_time(
+            own, item.workload.run_time * run_time_factors[item.workload.name], 0.6
+        )
 
     def usage(item: Item) -> tuple[int, int]:
         own = random.Random(f"{SEED}{item.key}u")
-        factor = off[item.workload.name] * own.uniform(0.85, 1.0)
+        factor = usage_factors[item.workload.name] * own.uniform(0.85, 1.0)
         need = item.workload.demand
         return round(need.cpu_milli * factor), round(need.memory_mib * factor)
 
-    driver = Driver(policy_of(policy, cell), cell, seconds, usage, warm=600.0)
+    driver = Driver(create_policy(policy, cell), cell, seconds, usage, warm=600.0)
     return driver.run(packing_arrivals(cell, until), until)
 
 
@@ -294,8 +309,9 @@
     return rows
 
 
-# Shares
+# Fair shares between owners
 
+# Share weight by owner.
 WEIGHTS = {"a": 1.0, "b": 2.0, "c": 3.0, "d": 4.0}
 
 
@@ -305,8 +321,8 @@
     for owner in WEIGHTS:
         demand = "{ cpu = 3, memory_gib = 12, accelerators = 1 }"
         keys = {"demand": demand, "run_time_s": 20, "queue_limit": 100000}
-        work += _work("batch", f"work-{owner}", owner, "standard", **keys)
-    return _cell(pool, _hosts(12, 3), WEIGHTS, work)
+        work += _workload_table("batch", f"work-{owner}", owner, "standard", **keys)
+    return _parse_bench_cell(pool, _host_tables(12, 3), WEIGHTS, work)
 
 
 def share_rows(until: float) -> list[dict[str, Any]]:
@@ -322,28 +338,31 @@
         rng.shuffle(items)
 
         def seconds(item: Item) -> float:
-            return _tail(random.Random(f"{SEED}{item.key}"), 20.0)
+            return _lognormal_time(random.Random(f"{SEED}{item.key}"), 20.0)
 
-        driver = Driver(policy_of(policy, cell), cell, seconds, _usage)
+        driver = Driver(create_policy(policy, cell), cell, seconds, _declared_usage)
         result = driver.run(iter(items), until, sample=1.0)
         rows.append({"policy": policy, "worst error": _share_error(result, 600.0)})
     return rows
 
 
 def _share_error(result: Result, window: float) -> float:
-    """Return the largest distance from the fair share over any window."""
+    """Return the largest deviation of an owner's mean share from its fair share.
+
+    The mean is taken over windows of ``window`` seconds, one starting each minute.
+    """
     total = sum(WEIGHTS.values())
     count = int(window)
     worst = 0.0
     for owner, weight in WEIGHTS.items():
-        held = [line.get(owner, 0.0) / 96 for _, line in result.shares]
-        for start in range(0, len(held) - count + 1, 60):
-            mean = sum(held[start : start + count]) / count
+        fractions = [line.get(owner, 0.0) / 96 for _, line in result.shares]
+        for start in range(0, len(fractions) - count + 1, 60):
+            mean = sum(fractions[start : start + count]) / count
             worst = max(worst, abs(mean - weight / total))
     return round(worst, 4)
 
 
-# Time of a decision
+# Time per decision
 
 
 def decision_rows(scales: tuple[int, ...] = (1, 10)) -> list[dict[str, Any]]:
@@ -355,7 +374,7 @@
     owners = {f"o{i}": 1.0 + i % 4 for i in range(58)}
     demand = "{ cpu = 7, memory_gib = 28 }"
     work = "".join(
-        _work(
+        _workload_table(
             "batch",
             f"w{i}",
             f"o{i % 58}",
@@ -365,7 +384,9 @@
         )
         for i in range(116)
     )
-    cell = _cell("cpu = 32\nmemory_gib = 128", _hosts(hosts, 5), owners, work)
+    cell = _parse_bench_cell(
+        "cpu = 32\nmemory_gib = 128", _host_tables(hosts, 5), owners, work
+    )
     policy = Scheduler(cell, random.Random(SEED), 0.0)
     policy.shard.door.limit = 1_000_000
     for host in cell.hosts():
@@ -399,7 +420,7 @@
 def _time_decisions(
     policy: Scheduler, active: list[str], loads: list[Any], rng: random.Random
 ) -> list[float]:
-    """Time one submission and one end in turn."""
+    """Return the seconds of 4000 submissions and ends of items, in alternation."""
     times = []
     now = 1.0
     for i in range(4000):
@@ -415,11 +436,13 @@
     return times
 
 
-# All of it
+# Report
 
 
-def verdicts(found: dict[str, list[dict[str, Any]]]) -> list[dict[str, Any]]:
-    """Return each target, what was measured for the product, and whether it holds."""
+def compare_with_targets(
+    found: dict[str, list[dict[str, Any]]],
+) -> list[dict[str, Any]]:
+    """Return each target with the measured value and whether it is met."""
     rows: list[dict[str, Any]] = []
 
     def add(name: str, value: float, good: bool) -> None:
@@ -430,7 +453,7 @@
             continue
         where = row["deployment"]
         part, median = row["within 1.8 s"], row["median ms"]
-        add(f"{where}: urgent within 1.8 s >= 0.999", part, part >= URGENT_PART)
+        add(f"{where}: urgent within 1.8 s >= 0.999", part, part >= URGENT_FRACTION)
         add(f"{where}: median <= 50 ms", median, median <= URGENT_MEDIAN * 1000)
         ratio, rate = row["ratio"], row["throughput"]
         add(f"{where}: flood/calm p99 <= 1.2", ratio, ratio <= FLOOD_RATIO)
@@ -444,11 +467,11 @@
     error = found["shares"][0]["worst error"]
     add("share error <= 0.02", error, error <= SHARE_ERROR)
     if "decisions" in found:
-        _add_decisions(found["decisions"], add)
+        _add_decision_targets(found["decisions"], add)
     return rows
 
 
-def _add_decisions(rows: list[dict[str, Any]], add: Any) -> None:
+def _add_decision_targets(rows: list[dict[str, Any]], add: Any) -> None:
     small = rows[0]
     add("decision p99 <= 5 ms", small["p99 us"] / 1000, small["p99 us"] <= 5000)
     rate = small["a second"]
@@ -459,12 +482,12 @@
 
 
 def plotted_waits(policy: str) -> list[float]:
-    """Return the waits of urgent requests under a small flood, in seconds."""
+    """Return the waits of urgent requests during a small flood, in seconds."""
     return run_urgent("stanova booking", policy, *PLOTTED_FLOOD).waits["quote"]
 
 
 def measure(quick: bool = False) -> dict[str, list[dict[str, Any]]]:
-    """Run everything; ``quick`` takes a smaller flood and shorter runs."""
+    """Run all benchmarks; ``quick`` has a smaller flood, shorter runs, no timing."""
     flood, until = (4000, 400.0) if quick else (FLOOD_ITEMS, 1500.0)
     span, sizes = (2400.0, (7,)) if quick else (7200.0, (7, 78))
     found = {} if quick else {"decisions": decision_rows()}
@@ -472,24 +495,24 @@
         found["urgent"] = urgent_rows(pool, flood, until)
         found["packing"] = packing_rows(pool, span, sizes)
     found["shares"] = share_rows(1200.0 if quick else 2400.0)
-    found["targets"] = verdicts(found)
+    found["targets"] = compare_with_targets(found)
     return found
 
 
-def main(words: list[str]) -> int:
-    found = measure("--quick" in words)
+def main(args: list[str]) -> int:
+    found = measure("--quick" in args)
     for name, rows in found.items():
         print(f"\n{name}\n{table(list(rows[0]), rows)}")
-    if "--json" in words:
-        with open(words[words.index("--json") + 1], "w", encoding="utf-8") as file:
+    if "--json" in args:
+        with open(args[args.index("--json") + 1], "w", encoding="utf-8") as file:
             json.dump(found, file, indent=1)
             file.write("\n")
-    if "--plot" in words:
-        # Drawing needs a library that measuring does not.
+    if "--plot" in args:
+        # Imported here because only plotting needs matplotlib.
         from bench.plots import plot_waits
 
         waits = {policy: plotted_waits(policy) for policy in POLICIES}
-        plot_waits(words[words.index("--plot") + 1], waits)
+        plot_waits(args[args.index("--plot") + 1], waits)
     return 0 if all(row["met"] == "yes" for row in found["targets"]) else 1
 
 
--- a/bench/driver.py
+++ b/bench/driver.py
@@ -1,4 +1,7 @@
-"""Drives a scheduler on a paused clock with fake workers; no network, no loop."""
+"""Discrete-event simulation that drives a scheduling policy with simulated hosts.
+
+It uses neither a network nor an event loop.
+"""
 
 from __future__ import annotations
 
@@ -14,19 +17,24 @@
 from siskinroad.queues import Item
 from siskinroad.upstreams import Control, Usage
 
-REPORT_TIME = 2.0
+# Seconds between usage reports of a host, and until one reaches the policy.
+REPORT_INTERVAL = 2.0
 REPORT_LAG = 2.0
-TICK_TIME = 0.25
+# Seconds between ticks of the policy.
+TICK_INTERVAL = 0.25
 
+# Time in seconds, item.
 Arrival = tuple[float, Item]
 
 
 @dataclass
 class _Task:
+    """Running member of an item: seconds, MiB, thousandths of a processor."""
+
     item: Item
     member: int
     host: str
-    ends: float
+    ends_at: float
     cpu: int
     memory: int
     began: float
@@ -36,7 +44,17 @@
 
 @dataclass
 class Result:
-    """What one run showed; times in seconds."""
+    """Measurements of one run; times in seconds.
+
+    Attributes
+    ----------
+    waits : dict
+        Waits of the items first started after the warm-up, by workload.
+    overfilled : int
+        Starts after which the true usage exceeded the capacity of the host.
+    shares : list of tuple
+        Time, and the accelerators in use by owner; a task without any counts as 1.
+    """
 
     waits: dict[str, list[float]] = field(default_factory=dict)
     finished: dict[str, int] = field(default_factory=dict)
@@ -50,16 +68,20 @@
 
 
 class Driver:
-    """One run of one policy.
+    """Simulation of one run of one policy.
 
     Parameters
     ----------
     policy : object
         A ``Scheduler`` or a baseline.
     run_time : callable
-        Returns the true seconds that an item takes; resumed work takes the rest.
+        Returns the true run time of an item in seconds; an item that resumes from a
+        checkpoint runs for the remaining time.
     usage : callable
-        Returns the true processors (thousandths) and memory (MiB) of a member.
+        Returns the true processor (thousandths) and memory (MiB) usage of a member.
+    warm : float
+        Length of the warm-up in seconds; waits and accelerator time before its end
+        are not counted.
     """
 
     def __init__(
@@ -77,109 +99,114 @@
         self.warm = warm
         self.result = Result()
         self.tasks: dict[tuple[str, int], _Task] = {}
-        self.left: dict[str, float] = {}
-        self.on_host: dict[str, dict[tuple[str, int], _Task]] = {}
-        self.held: dict[str, float] = {}
+        self.remaining_s: dict[str, float] = {}
+        self.tasks_by_host: dict[str, dict[tuple[str, int], _Task]] = {}
+        self.allocated: dict[str, float] = {}
         self._events: list[tuple[float, int, str, Any]] = []
-        self._number = itertools.count()
+        self._event_number = itertools.count()
         self._reports: dict[str, list] = {}
         self.now = 0.0
         for host in cell.hosts():
             policy.add_host(host, 0.0)
             policy.host_event(host.name, "inventory", 0.0)
-            self.on_host[host.name] = {}
+            self.tasks_by_host[host.name] = {}
 
     def run(
         self, arrivals: Iterator[Arrival], until: float, sample: float = 0.0
     ) -> Result:
-        """Run until a time; ``sample`` records what owners hold so often."""
-        self._push_arrival(arrivals)
-        self._push(TICK_TIME, "tick", None)
-        self._push(REPORT_TIME, "report", None)
+        """Run until a time.
+
+        ``sample`` is the interval in seconds at which ``Result.shares`` is recorded;
+        0 records nothing.
+        """
+        self._push_next_arrival(arrivals)
+        self._push_event(TICK_INTERVAL, "tick", None)
+        self._push_event(REPORT_INTERVAL, "report", None)
         if sample:
-            self._push(sample, "sample", sample)
+            self._push_event(sample, "sample", sample)
         while self._events and self._events[0][0] <= until:
             self.now, _, kind, data = heapq.heappop(self._events)
+            # Calls the _on_* method named by the kind of event.
             getattr(self, f"_on_{kind}")(data)
         self.now = until
         for task in list(self.tasks.values()):
-            self._count_accelerators(task)
+            self._add_accelerator_time(task)
         return self.result
 
-    def _push(self, time: float, kind: str, data: Any) -> None:
-        heapq.heappush(self._events, (time, next(self._number), kind, data))
+    def _push_event(self, time: float, kind: str, data: Any) -> None:
+        heapq.heappush(self._events, (time, next(self._event_number), kind, data))
 
-    def _push_arrival(self, arrivals: Iterator[Arrival]) -> None:
+    def _push_next_arrival(self, arrivals: Iterator[Arrival]) -> None:
         arrival = next(arrivals, None)
         if arrival is not None:
-            self._push(arrival[0], "arrival", (arrival[1], arrivals))
+            self._push_event(arrival[0], "arrival", (arrival[1], arrivals))
 
     def _on_arrival(self, data: tuple[Item, Iterator[Arrival]]) -> None:
         item, arrivals = data
-        self._push_arrival(arrivals)
+        self._push_next_arrival(arrivals)
         self.result.decisions += 1
-        self._carry(self.policy.submit(item, self.now))
+        self._apply_effects(self.policy.submit(item, self.now))
 
     def _on_tick(self, _: None) -> None:
-        self._push(self.now + TICK_TIME, "tick", None)
-        self._carry(self.policy.tick(self.now))
+        self._push_event(self.now + TICK_INTERVAL, "tick", None)
+        self._apply_effects(self.policy.tick(self.now))
 
     def _on_report(self, _: None) -> None:
-        self._push(self.now + REPORT_TIME, "report", None)
+        self._push_event(self.now + REPORT_INTERVAL, "report", None)
         reports = {}
-        for host, tasks in self.on_host.items():
+        for host, tasks in self.tasks_by_host.items():
             reports[host] = [
                 (key[0], key[1], Usage(task.cpu, task.memory))
                 for key, task in tasks.items()
                 if task.item.workload.kind != "service"
             ]
-        self._push(self.now + REPORT_LAG, "lagged", reports)
+        self._push_event(self.now + REPORT_LAG, "lagged", reports)
 
     def _on_lagged(self, reports: dict[str, list]) -> None:
         for host, lines in reports.items():
             if lines:
-                self._carry(self.policy.usage(host, lines, self.now))
+                self._apply_effects(self.policy.usage(host, lines, self.now))
 
     def _on_sample(self, every: float) -> None:
-        self._push(self.now + every, "sample", every)
-        self.result.shares.append((self.now, dict(self.held)))
+        self._push_event(self.now + every, "sample", every)
+        self.result.shares.append((self.now, dict(self.allocated)))
 
     def _on_end(self, task: _Task) -> None:
-        if not task.alive or self.now < task.ends - 1e-9:
+        if not task.alive or self.now < task.ends_at - 1e-9:
             return
-        self._finish(task, End.DONE)
+        self._finish_task(task, End.DONE)
 
-    def _finish(self, task: _Task, end: End) -> None:
+    def _finish_task(self, task: _Task, end: End) -> None:
         task.alive = False
         key = (task.item.key, task.member)
         del self.tasks[key]
-        del self.on_host[task.host][key]
-        self._hold(task, -1)
-        self._count_accelerators(task)
+        del self.tasks_by_host[task.host][key]
+        self._update_allocation(task, -1)
+        self._add_accelerator_time(task)
         if end is End.CHECKPOINTED:
-            self.left[task.item.key] = max(task.ends - self.now, 0.0)
+            self.remaining_s[task.item.key] = max(task.ends_at - self.now, 0.0)
         self.result.decisions += 1
         seconds = self.now - task.began
         usage = Usage(task.cpu, task.memory)
-        self._carry(self.policy.ended(*key, end, self.now, seconds, usage))
+        self._apply_effects(self.policy.ended(*key, end, self.now, seconds, usage))
 
-    def _count_accelerators(self, task: _Task) -> None:
+    def _add_accelerator_time(self, task: _Task) -> None:
         began = max(task.began, self.warm)
         count = task.item.workload.demand.accelerators
         self.result.accelerator_seconds += max(0.0, self.now - began) * count
 
-    def _hold(self, task: _Task, sign: int) -> None:
+    def _update_allocation(self, task: _Task, sign: int) -> None:
         owner = task.item.workload.owner
         amount = task.item.workload.demand.accelerators or 1
-        self.held[owner] = self.held.get(owner, 0.0) + sign * amount
+        self.allocated[owner] = self.allocated.get(owner, 0.0) + sign * amount
 
-    def _carry(self, effects: list[Any]) -> None:
+    def _apply_effects(self, effects: list[Any]) -> None:
         for effect in effects:
             match effect:
                 case StartTask():
-                    self._start(effect)
+                    self._start_tasks(effect)
                 case ControlTask():
-                    self._control(effect)
+                    self._control_task(effect)
                 case Refused():
                     self.result.refused += 1
                 case Finished():
@@ -188,56 +215,59 @@
                     done[name] = done.get(name, 0) + 1
                     self.result.last_finish[name] = self.now
 
-    def _start(self, effect: StartTask) -> None:
+    def _start_tasks(self, effect: StartTask) -> None:
         item = effect.item
         if item.tries == 1 and self.now >= self.warm:
             waits = self.result.waits.setdefault(item.workload.name, [])
             waits.append(self.now - item.enqueued)
-        seconds = self.left.pop(item.key, None)
+        seconds = self.remaining_s.pop(item.key, None)
         if seconds is None:
             seconds = self.run_time(item)
         for member, host in enumerate(effect.hosts):
             cpu, memory = self.usage(item)
             task = _Task(item, member, host, self.now + seconds, cpu, memory, self.now)
             self.tasks[(item.key, member)] = task
-            self.on_host[host][(item.key, member)] = task
-            self._hold(task, 1)
-            self._check(host)
-            self._push(task.ends, "end", task)
+            self.tasks_by_host[host][(item.key, member)] = task
+            self._update_allocation(task, 1)
+            self._check_capacity(host)
+            self._push_event(task.ends_at, "end", task)
         self.policy.started(item.key)
 
-    def _check(self, host: str) -> None:
-        tasks = self.on_host[host].values()
+    def _check_capacity(self, host: str) -> None:
+        tasks = self.tasks_by_host[host].values()
         pool = next(iter(tasks)).item.workload.pool
-        room = self.cell.pools[pool].capacity
+        host_capacity = self.cell.pools[pool].capacity
         memory = sum(task.memory for task in tasks)
         accelerators = sum(task.item.workload.demand.accelerators for task in tasks)
-        full = memory > room.memory_mib or accelerators > room.accelerators
-        if full or len(tasks) > room.slots:
+        full = (
+            memory > host_capacity.memory_mib
+            or accelerators > host_capacity.accelerators
+        )
+        if full or len(tasks) > host_capacity.slots:
             self.result.overfilled += 1
 
-    def _control(self, effect: ControlTask) -> None:
+    def _control_task(self, effect: ControlTask) -> None:
         task = self.tasks.get((effect.key, effect.member))
         if task is None:
             return
         match effect.do:
             case Control.CHECKPOINT:
-                self._push(self.now + 0.2, "checkpoint", task)
+                self._push_event(self.now + 0.2, "checkpoint", task)
             case Control.STOP:
                 self.result.stopped += 1
-                self._push(self.now + 0.05, "stop", task)
+                self._push_event(self.now + 0.05, "stop", task)
 
     def _on_checkpoint(self, task: _Task) -> None:
         if task.alive:
-            self._finish(task, End.CHECKPOINTED)
+            self._finish_task(task, End.CHECKPOINTED)
 
     def _on_stop(self, task: _Task) -> None:
         if task.alive:
-            self._finish(task, End.STOPPED)
+            self._finish_task(task, End.STOPPED)
 
 
 def poisson(rng: random.Random, rate: float, until: float) -> Iterator[float]:
-    """Yield random instants at a steady rate."""
+    """Yield the arrival instants of a Poisson process; ``rate`` is per second."""
     now = 0.0
     while True:
         now += rng.expovariate(rate)
@@ -249,9 +279,10 @@
 def bursts(
     rng: random.Random, rate: float, until: float, every: float, times: float
 ) -> Iterator[float]:
-    """Yield instants whose rate is ``times`` the mean for a tenth of each period.
+    """Yield arrival instants with a burst of ``times`` the mean rate in each period.
 
-    The rate between the bursts is lowered, so that the mean stays ``rate``.
+    A period takes ``every`` seconds, a burst its first tenth. The rate between the
+    bursts is lowered, so that the mean stays ``rate`` per second.
     """
     low = rate * (10 - times) / 9
     now = 0.0
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -1,6 +1,7 @@
-"""Plots of measurements: ``python -m bench.plots`` draws those of processes.
+"""Plots of measurements.
 
-``python -m bench.decisions --plot FILE`` draws the waits.
+``python -m bench.plots`` plots the costs of daemon processes;
+``python -m bench.decisions --plot FILE`` plots the waits of urgent requests.
 """
 
 from __future__ import annotations
@@ -18,12 +19,12 @@
 
 
 def plot_waits(path: str, waits_by_policy: dict[str, list[float]]) -> None:
-    """Draw how long urgent requests wait under a flood, by policy."""
+    """Plot the distribution of the waits (seconds) of urgent requests, by policy."""
     figure, axes = pyplot.subplots(figsize=(7, 4))
-    for policy, found in waits_by_policy.items():
-        waits = sorted(max(wait, 1e-3) for wait in found)
-        late = [1 - i / len(waits) for i in range(len(waits))]
-        axes.plot(waits, late, label=policy)
+    for policy, unsorted_waits in waits_by_policy.items():
+        waits = sorted(max(wait, 1e-3) for wait in unsorted_waits)
+        fractions = [1 - i / len(waits) for i in range(len(waits))]
+        axes.plot(waits, fractions, label=policy)
     axes.axvline(1.8, color="grey", linestyle=":", label="1.8 s")
     axes.set_xscale("log")
     axes.set_yscale("log")
@@ -35,7 +36,7 @@
 
 
 def plot_processes(path: str) -> None:
-    """Draw what a true daemon costs at rest against their number."""
+    """Plot the costs of an idle daemon process against the number of daemons."""
     rows = json.loads((DOCS / "processes.json").read_text())
     figure, axes = pyplot.subplots(1, 3, figsize=(10, 3.2))
     count = [row["daemons"] for row in rows]
