--- a/bench/model.py
+++ b/bench/model.py
@@ -1,8 +1,8 @@
-"""Exhaustive exploration of small cases of the ownership core itself.
+"""Exhaustive exploration of the ownership state machine on a small model.
 
-Three daemons and two shards, time in steps of half a second. Every sequence of
-disturbances up to a depth is tried; at each step at most one daemon may place
-work on a shard, judged by each daemon's own core at the true time.
+Three daemons and two shards, with time in steps of half a second. Every sequence of
+disturbances of a given length is tried. At each step, at most one daemon may place
+work on a shard, as the ownership state of each daemon says at the model's time.
 """
 
 from __future__ import annotations
@@ -19,14 +19,19 @@
 
 NAMES = ("a", "b", "c")
 SHARDS = ("p/d/0", "p/d/1")
+# Seconds per step.
 STEP = 0.5
+# Steps after each disturbance, and further steps after the last one.
 STEPS_BETWEEN = 2
 STEPS_AFTER = 12
+# Steps for which a paused daemon does nothing: 3.5 s, longer than a lease of 2 s.
 PAUSE_STEPS = 7
 
 
 @dataclass
 class Node:
+    """Daemon of the model; ``paused`` is the number of steps left to pause."""
+
     name: str
     incarnation: int = 1
     up: bool = True
@@ -44,6 +49,22 @@
 
 @dataclass
 class Model:
+    """State of the daemons, the network and the log.
+
+    Attributes
+    ----------
+    now : float
+        Time in seconds.
+    cut : set of frozenset
+        Pairs of daemons without a link in either direction.
+    one_way : set of tuple
+        Sender and receiver of the links that drop messages in one direction.
+    no_log : set of str
+        Daemons that reach no log.
+    held_appends : list
+        Appends that ``hold_appends`` delays until ``heal``.
+    """
+
     nodes: dict[str, Node] = field(default_factory=dict)
     log: list[list[Record]] = field(default_factory=list)
     now: float = 100.0
@@ -51,16 +72,16 @@
     one_way: set[tuple[str, str]] = field(default_factory=set)
     no_log: set[str] = field(default_factory=set)
     lost_answers: int = 0
-    late: list[list[Record]] = field(default_factory=list)
+    held_appends: list[list[Record]] = field(default_factory=list)
     delay_appends: bool = False
 
     def step(self) -> None:
-        """Pass half a second: messages, the log, then every core's tick."""
+        """Advance by one step: read the log, exchange heartbeats, tick each daemon."""
         self.now += STEP
         for node in self.nodes.values():
             if node.up and not node.paused:
-                self._read(node)
-                self._beat(node)
+                self._apply_log(node)
+                self._send_heartbeats(node)
         for node in self.nodes.values():
             if node.paused:
                 node.paused -= 1
@@ -71,7 +92,7 @@
             node.inbox.clear()
             self._tick(node)
 
-    def _read(self, node: Node) -> None:
+    def _apply_log(self, node: Node) -> None:
         if node.name in self.no_log:
             return
         while node.ledger.next_offset <= len(self.log):
@@ -79,7 +100,7 @@
             node.ledger.apply(offset, self.log[offset - 1])
         node.own.log_confirmed(self.now)
 
-    def _beat(self, node: Node) -> None:
+    def _send_heartbeats(self, node: Node) -> None:
         for other in self.nodes.values():
             pair = frozenset((node.name, other.name))
             if other is node or pair in self.cut or not other.up:
@@ -116,23 +137,23 @@
         if node.name in self.no_log:
             return
         if self.delay_appends:
-            self.late.append([record])
+            self.held_appends.append([record])
         else:
             self.log.append([record])
 
-    def broken(self) -> str:
-        """Return which shard two daemons may place work on, if any."""
+    def find_conflict(self) -> str:
+        """Describe a shard on which two daemons may place work; empty if none."""
         for shard in SHARDS:
-            holders = [
+            placing_daemons = [
                 node.name
                 for node in self.nodes.values()
                 if node.up and node.own.may_place(shard, self.now)
             ]
-            if len(holders) > 1:
-                return f"{shard} at {self.now}: {holders}"
+            if len(placing_daemons) > 1:
+                return f"{shard} at {self.now}: {placing_daemons}"
         return ""
 
-    # Disturbances
+    # Disturbances, called by the names in ACTIONS
 
     def crash(self, name: str) -> None:
         self.nodes[name].up = False
@@ -164,8 +185,8 @@
         self.one_way.clear()
         self.no_log.clear()
         self.delay_appends = False
-        self.log += self.late
-        self.late = []
+        self.log += self.held_appends
+        self.held_appends = []
 
 
 ACTIONS = [
@@ -182,7 +203,7 @@
 
 
 def steady() -> bytes:
-    """Return a state in which each shard has an owner."""
+    """Return a pickled model in which each shard has one owner."""
     model = Model({name: Node(name) for name in NAMES})
     for _ in range(16):
         model.step()
@@ -195,7 +216,7 @@
 
 
 def explore(depth: int, actions: list[tuple[str, ...]] | None = None) -> int:
-    """Try every sequence; return their number.
+    """Try every sequence of ``depth`` disturbances; return their number.
 
     Raises
     ------
@@ -206,27 +227,27 @@
     tried = 0
     for sequence in itertools.product(actions or ACTIONS, repeat=depth):
         tried += 1
-        fault = follow(start, sequence)
-        assert not fault, f"{sequence}: {fault}"
+        conflict = follow(start, sequence)
+        assert not conflict, f"{sequence}: {conflict}"
     return tried
 
 
 def follow(start: bytes, sequence: tuple[tuple[str, ...], ...]) -> str:
-    """Carry out one sequence; return what broke, or an empty string."""
+    """Run one sequence; return the conflict that it leads to, or an empty string."""
     model: Model = pickle.loads(start)
     for name, *args in sequence:
         getattr(model, name)(*args)
         for _ in range(STEPS_BETWEEN):
-            fault = model.broken()
-            if fault:
-                return fault
+            conflict = model.find_conflict()
+            if conflict:
+                return conflict
             model.step()
     for _ in range(STEPS_AFTER):
-        fault = model.broken()
-        if fault:
-            return fault
+        conflict = model.find_conflict()
+        if conflict:
+            return conflict
         model.step()
-    return model.broken()
+    return model.find_conflict()
 
 
 if __name__ == "__main__":
--- a/bench/world.py
+++ b/bench/world.py
@@ -1,4 +1,4 @@
-"""Several daemons in one process, with in-memory stand-ins around them."""
+"""Several daemons in one process with an in-memory platform, network and hosts."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
 
 
 def pool(name: str, hosts: list[tuple[str, str, str]], **keys: object) -> str:
-    """Return an upstream's table; hosts are (name, rack, data centre)."""
+    """Return the TOML table of an upstream; hosts are (name, rack, data centre)."""
     values = {"cpu": 32, "memory_gib": 128, "fencing": False, **keys}
     lines = ["[[upstreams]]", f'name = "{name}"']
     lines += [f"{k} = {str(v).lower()}" for k, v in values.items()]
@@ -84,6 +84,7 @@
 
 
 def small_cell(east: int = 3, west: int = 2, **keys: object) -> str:
+    """Return the text of a cell with hosts in ``east-1`` and ``west-1``."""
     hosts = [(f"e{i}", f"r{i // 2}", "east-1") for i in range(east)]
     hosts += [(f"w{i}", f"r{i // 2}", "west-1") for i in range(west)]
     return CELL + pool("booking", hosts, **keys) + SERVICES
@@ -91,9 +92,11 @@
 
 @dataclass
 class World:
-    """The daemons and everything outside them.
+    """Daemons with the platform, the network and the hosts around them.
 
-    Daemons are named by data centre: ``east-1a``, ``east-1b``, ``west-1a``.
+    The name of a daemon is its data centre and one letter, such as ``east-1a``.
+    ``seconds`` is the mean run time by workload; ``cut`` holds the pairs of daemon and
+    host that cannot reach each other.
     """
 
     text: str
@@ -130,7 +133,7 @@
     def demand(self, workload: str):
         return self.cell.workloads[workload].demand
 
-    def cfg(self, name: str) -> Settings:
+    def create_settings(self, name: str) -> Settings:
         peers = tuple(
             Peer(x, "127.0.0.1:1", x[:-1], x.partition("-")[0])
             for x in self.names
@@ -140,10 +143,10 @@
         return Settings(name, name[:-1], region, peers=peers, **self.settings)
 
     def start(self, name: str) -> Daemon:
-        """Start a daemon, or start it again under the same address."""
+        """Start a daemon, or restart it under the same name as a new incarnation."""
         self.incarnation += 1
         daemon = Daemon(
-            self.cfg(name),
+            self.create_settings(name),
             self.incarnation,
             MemoryPlatform(self.log, name),
             MemoryUpstreams(self.workers, name, self.cut),
@@ -155,7 +158,7 @@
         return daemon
 
     async def kill(self, name: str) -> None:
-        """Stop a daemon as a crash would."""
+        """Stop a daemon without draining it, as a crash would."""
         await self.daemons.pop(name).close()
 
     async def start_all(self) -> None:
@@ -163,7 +166,7 @@
             self.start(name)
 
     async def publish(self, text: str | None = None) -> None:
-        """Put the first revision in force through a daemon."""
+        """Apply a configuration, by default the cell's text, through one daemon."""
         daemon = next(iter(self.daemons.values()))
         await daemon.publisher.apply(text or self.text, None)
 
@@ -171,6 +174,7 @@
         await asyncio.sleep(seconds)
 
     async def ready(self) -> None:
+        """Start all daemons, apply the cell and give shards 6 s to get owners."""
         await self.start_all()
         await asyncio.sleep(1.0)
         await self.publish()
@@ -187,6 +191,7 @@
     async def ask(
         self, name: str, service: str, body: bytes = b"x", key: str = "", limit=20.0
     ) -> Answer:
+        """Send a request to a daemon; ``limit`` is its time limit in seconds."""
         daemon = self.daemons[name]
         cell = daemon.cell()
         now = asyncio.get_running_loop().time()
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -1,4 +1,4 @@
-"""Whole sessions with both example cells, stable to the byte."""
+"""Transcripts of sessions with both example cells equal the golden files."""
 
 import pytest
 
@@ -6,5 +6,5 @@
 
 
 @pytest.mark.parametrize("cell", SESSIONS)
-def test_session(cell):
+def test_transcript_equals_golden_file(cell):
     assert transcript(cell) == (GOLDEN / f"{cell}.txt").read_text()
