--- a/bench/faults.py
+++ b/bench/faults.py
@@ -1,4 +1,4 @@
-"""A seeded driver: several daemons, a load, and faults alone or together."""
+"""Seeded fault injection: several daemons under load, with faults that may overlap."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from typing import Any, TypeVar
 
 from bench.clock import run
-from bench.invariants import Asked, Seen, check
+from bench.invariants import CallerRequest, Seen, check
 from bench.world import World, small_cell
 from siskinroad.entry import Daemon
 from siskinroad.errors import ConflictError, PlatformError, Refusal, SiskinroadError
@@ -17,23 +17,29 @@
 T = TypeVar("T")
 
 NAMES = ["east-1a", "east-1b", "east-1c", "west-1a", "west-1b"]
-RATE = 12.0
-FAULT_TIME = 8.0
+# Mean number of service requests per second.
+REQUEST_RATE = 12.0
+# Longest duration of a fault, in seconds.
+MAX_FAULT_TIME = 8.0
+# Seconds during which requests are sent.
 LOAD_TIME = 22.0
-HEAL_TIME = 75.0
+# Seconds after the end of all faults within which accepted jobs must end.
+RECOVERY_TIME = 75.0
 JOB_TASKS = 6
+# Seconds of loop time after which a session counts as hung.
 MAX_TIME = 400.0
 
 Fault = Callable[["Session"], Awaitable[None]]
 
 
 class Session:
-    """One seeded run.
+    """One seeded run of daemons, callers, operators and faults.
 
     Parameters
     ----------
     faults : list of str
-        Names in ``FAULTS``; each is caused at a random moment of the load.
+        Names in ``FAULTS``; each is injected at a random moment while requests are
+        sent.
     fencing : bool
         Whether the hosts refuse lower epochs.
     """
@@ -43,61 +49,63 @@
         self.faults = faults
         self.world = World(small_cell(fencing=fencing), list(NAMES), seed)
         self.seen = Seen()
-        self.number = 0
-        self.latest = 0
-        self.asking: dict[str, set[asyncio.Task[None]]] = {}
+        self.request_count = 0
+        self.latest_revision = 0
+        self.pending_calls: dict[str, set[asyncio.Task[None]]] = {}
 
     def now(self) -> float:
         return asyncio.get_running_loop().time()
 
     async def run(self) -> list[str]:
         await self.world.ready()
-        self.latest = 1
-        watcher = asyncio.create_task(self._watch_revisions())
+        self.latest_revision = 1
+        watcher = asyncio.create_task(self._record_revisions())
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._load())
-            group.create_task(self._jobs())
+            group.create_task(self._send_requests())
+            group.create_task(self._submit_jobs())
             for name in self.faults:
-                group.create_task(self._cause(name))
-        await self._settle()
+                group.create_task(self._inject_fault(name))
+        await self._recover()
         watcher.cancel()
-        return check(self.seen, self.world.workers) + self._late()
+        return check(self.seen, self.world.workers) + self._find_stale_daemons()
 
-    async def _cause(self, name: str) -> None:
+    async def _inject_fault(self, name: str) -> None:
         await asyncio.sleep(self.rng.uniform(1.0, 8.0))
         await FAULTS[name](self)
 
-    async def _load(self) -> None:
+    async def _send_requests(self) -> None:
         until = self.now() + LOAD_TIME
         async with asyncio.TaskGroup() as group:
             while self.now() < until:
-                await asyncio.sleep(self.rng.expovariate(RATE))
+                await asyncio.sleep(self.rng.expovariate(REQUEST_RATE))
                 if self.world.daemons:
                     name = self.rng.choice(sorted(self.world.daemons))
-                    task = group.create_task(self._ask(name))
-                    self.asking.setdefault(name, set()).add(task)
-                    task.add_done_callback(self.asking[name].discard)
-
-    async def on(self, daemon: Daemon, call: Coroutine[Any, Any, T]) -> T | None:
-        """Return what a daemon answers; None if it is killed meanwhile."""
+                    task = group.create_task(self._send_request(name))
+                    self.pending_calls.setdefault(name, set()).add(task)
+                    task.add_done_callback(self.pending_calls[name].discard)
+
+    async def call_daemon(
+        self, daemon: Daemon, call: Coroutine[Any, Any, T]
+    ) -> T | None:
+        """Return the result of a call on a daemon, None if it is killed meanwhile."""
         name = daemon.cfg.name
         task = asyncio.create_task(call)
-        self.asking.setdefault(name, set()).add(task)
+        self.pending_calls.setdefault(name, set()).add(task)
         await asyncio.wait({task})
-        self.asking.get(name, set()).discard(task)
+        self.pending_calls.get(name, set()).discard(task)
         return None if task.cancelled() else task.result()
 
     async def kill(self, name: str) -> None:
-        """Kill a daemon; its callers' connections break."""
-        for task in self.asking.pop(name, set()):
+        """Kill a daemon and break the connections of its callers."""
+        for task in self.pending_calls.pop(name, set()):
             task.cancel()
         await self.world.kill(name)
 
-    async def _ask(self, name: str) -> None:
-        self.number += 1
+    async def _send_request(self, name: str) -> None:
+        self.request_count += 1
         service = self.rng.choice(["quote", "quote", "dispatch"])
-        body = f"{service}-{self.number}".encode()
-        asked = Asked(body, service, service == "quote", self.now())
+        body = f"{service}-{self.request_count}".encode()
+        asked = CallerRequest(body, service, service == "quote", self.now())
         key = body.decode() if service == "dispatch" else ""
         try:
             answer = await self.world.ask(name, service, body, key)
@@ -107,13 +115,13 @@
             asked.reason, asked.outcome = "connection_lost", "outcome unknown"
         else:
             asked.answer, asked.status = answer.body, answer.status
-        asked.answered = self.now()
+        asked.answered_at = self.now()
         self.seen.asked.append(asked)
         if key and self.rng.random() < 0.3 and asked.status != 200:
             asked.repeated = True
-            await self._repeat(service, body, key)
+            await self._repeat_request(service, body, key)
 
-    async def _repeat(self, service: str, body: bytes, key: str) -> None:
+    async def _repeat_request(self, service: str, body: bytes, key: str) -> None:
         await asyncio.sleep(self.rng.uniform(0.1, 3.0))
         if not self.world.daemons:
             return
@@ -123,21 +131,21 @@
         except Refusal:
             return
 
-    async def _jobs(self) -> None:
+    async def _submit_jobs(self) -> None:
         for number in range(5):
             await asyncio.sleep(self.rng.uniform(0.5, 3.0))
             workload = self.rng.choice(["recount", "recount", "render"])
             count = JOB_TASKS if workload == "recount" else 1
-            await self._submit(workload, count, f"job-{number}")
+            await self._submit_job(workload, count, f"job-{number}")
 
-    async def _submit(self, workload: str, count: int, key: str) -> str:
+    async def _submit_job(self, workload: str, count: int, key: str) -> str:
         if not self.world.daemons:
             return ""
         daemon = self.world.daemons[self.rng.choice(sorted(self.world.daemons))]
         try:
             cell = daemon.cell()
             call = daemon.jobs.submit(cell, cell.workloads[workload], count, b"", key)
-            view = await self.on(daemon, call)
+            view = await self.call_daemon(daemon, call)
         except Refusal:
             return ""
         if view is None:
@@ -145,7 +153,7 @@
         self.seen.accepted[view.job] = count
         return view.job
 
-    async def _watch_revisions(self) -> None:
+    async def _record_revisions(self) -> None:
         while True:
             for name, daemon in self.world.daemons.items():
                 revision = daemon.configuration.revision
@@ -154,8 +162,8 @@
                 )
             await asyncio.sleep(0.5)
 
-    async def _settle(self) -> None:
-        """Heal everything and wait until the accepted jobs have ended."""
+    async def _recover(self) -> None:
+        """End all faults, start killed daemons and wait for accepted jobs to end."""
         world = self.world
         world.log.faults.down = False
         world.log.faults.cut.clear()
@@ -172,14 +180,14 @@
         for name in NAMES:
             if name not in world.daemons:
                 world.start(name)
-        self.healed = self.now()
-        until = self.now() + HEAL_TIME
+        self.healed_at = self.now()
+        until = self.now() + RECOVERY_TIME
         while self.now() < until and set(self.seen.accepted) - self.seen.settled:
             await asyncio.sleep(1.0)
-            await self._note_settled()
-        await asyncio.sleep(max(0.0, self.healed + 10.0 - self.now()))
+            await self._record_settled_jobs()
+        await asyncio.sleep(max(0.0, self.healed_at + 10.0 - self.now()))
 
-    async def _note_settled(self) -> None:
+    async def _record_settled_jobs(self) -> None:
         for job in set(self.seen.accepted) - self.seen.settled:
             centre = job.rpartition(".")[0]
             for daemon in self.world.daemons.values():
@@ -189,15 +197,18 @@
                 if state is not None and state.settled:
                     self.seen.settled.add(job)
 
-    def _late(self) -> list[str]:
-        """Return the daemons that lack the last revision 10 s after healing."""
+    def _find_stale_daemons(self) -> list[str]:
+        """Return a message for each daemon without the latest revision.
+
+        Called at the earliest 10 s after all faults have ended.
+        """
         return [
-            f"{name} is at revision {daemon.configuration.revision}"
+            f"{name} is at old revision {daemon.configuration.revision} after recovery"
             for name, daemon in self.world.daemons.items()
-            if daemon.configuration.revision < self.latest
+            if daemon.configuration.revision < self.latest_revision
         ]
 
-    def pick(self, prefix: str = "") -> str:
+    def pick_daemon(self, prefix: str = "") -> str:
         names = [name for name in sorted(self.world.daemons) if name.startswith(prefix)]
         return self.rng.choice(names) if names else ""
 
@@ -205,240 +216,264 @@
         return self.world.workers[self.rng.choice(sorted(self.world.workers))]
 
     async def pause(self) -> None:
-        await asyncio.sleep(self.rng.uniform(0.5, FAULT_TIME))
+        await asyncio.sleep(self.rng.uniform(0.5, MAX_FAULT_TIME))
 
 
-# Each cause of failure in the users' words
+# Injected faults, one function each. The function names are the keys of FAULTS, whose
+# sorted order decides which seed a combination gets: renaming one changes the runs.
 
 
-async def kill(s: Session) -> None:
-    name = s.pick()
+async def kill(session: Session) -> None:
+    name = session.pick_daemon()
     if not name:
         return
-    await s.kill(name)
-    await s.pause()
-    if name not in s.world.daemons:
-        s.world.start(name)
+    await session.kill(name)
+    await session.pause()
+    if name not in session.world.daemons:
+        session.world.start(name)
 
 
-async def restart_all(s: Session) -> None:
-    for name in list(s.world.daemons):
-        await s.kill(name)
+async def restart_all(session: Session) -> None:
+    """Kill all daemons and start them again 0.5 s later."""
+    for name in list(session.world.daemons):
+        await session.kill(name)
     await asyncio.sleep(0.5)
     for name in NAMES:
-        if name not in s.world.daemons:
-            s.world.start(name)
+        if name not in session.world.daemons:
+            session.world.start(name)
 
 
-async def deaf(s: Session) -> None:
-    """Hold all that reaches a daemon, as while its process is stopped."""
-    name = s.pick()
+async def deaf(session: Session) -> None:
+    """Hold the messages to a daemon and cut it off the log, as if it were suspended."""
+    name = session.pick_daemon()
     if not name:
         return
-    faults = s.world.log.faults
-    s.world.network.pause(name)
+    faults = session.world.log.faults
+    session.world.network.pause(name)
     faults.cut.add(name)
-    await s.pause()
-    s.world.network.resume(name)
+    await session.pause()
+    session.world.network.resume(name)
     faults.cut.discard(name)
 
 
-async def held_calls(s: Session) -> None:
-    """Hold a daemon's calls to hosts on their way, then let them through."""
-    name = s.pick()
-    if not name or not s.world.cell.pools["booking"].fencing:
+async def held_calls(session: Session) -> None:
+    """Hold the calls of a cut-off daemon to hosts, then deliver them.
+
+    Does nothing if the hosts do not fence.
+    """
+    name = session.pick_daemon()
+    if not name or not session.world.cell.pools["booking"].fencing:
         return
-    upstreams = s.world.daemons[name].upstreams
+    upstreams = session.world.daemons[name].upstreams
     held = upstreams.held = asyncio.Event()
-    s.world.network.pause(name)
-    s.world.log.faults.cut.add(name)
-    await s.pause()
-    s.world.network.resume(name)
-    s.world.log.faults.cut.discard(name)
+    session.world.network.pause(name)
+    session.world.log.faults.cut.add(name)
+    await session.pause()
+    session.world.network.resume(name)
+    session.world.log.faults.cut.discard(name)
     held.set()
     if upstreams.held is held:
         upstreams.held = None
 
 
-async def host_fails(s: Session) -> None:
-    worker = s.worker()
+async def host_fails(session: Session) -> None:
+    """Crash a host, which then refuses connections."""
+    worker = session.worker()
     worker.faults.down = True
-    worker.crash(s.now())
-    await s.pause()
+    worker.crash(session.now())
+    await session.pause()
     worker.faults.down = False
 
 
-async def host_silent(s: Session) -> None:
-    worker = s.worker()
+async def host_silent(session: Session) -> None:
+    """Drop all calls to a host."""
+    worker = session.worker()
     worker.faults.silent = True
-    await s.pause()
+    await session.pause()
     worker.faults.silent = False
 
 
-async def host_mute(s: Session) -> None:
-    worker = s.worker()
+async def host_mute(session: Session) -> None:
+    """Let calls to a host take effect, but drop its answers."""
+    worker = session.worker()
     worker.faults.mute = True
-    await s.pause()
+    await session.pause()
     worker.faults.mute = False
 
 
-async def host_fails_everything(s: Session) -> None:
-    worker = s.worker()
+async def host_fails_everything(session: Session) -> None:
+    """Let all tasks and requests on a host fail at once."""
+    worker = session.worker()
     worker.faults.failing = True
-    await s.pause()
+    await session.pause()
     worker.faults.failing = False
 
 
-async def log_down(s: Session) -> None:
-    s.world.log.faults.down = True
-    await s.pause()
-    s.world.log.faults.down = False
+async def log_down(session: Session) -> None:
+    session.world.log.faults.down = True
+    await session.pause()
+    session.world.log.faults.down = False
 
 
-async def log_slow(s: Session) -> None:
-    s.world.log.faults.delay = s.rng.uniform(0.2, 1.5)
-    await s.pause()
-    s.world.log.faults.delay = 0.0
+async def log_slow(session: Session) -> None:
+    session.world.log.faults.delay = session.rng.uniform(0.2, 1.5)
+    await session.pause()
+    session.world.log.faults.delay = 0.0
 
 
-async def log_answers_lost(s: Session) -> None:
-    s.world.log.faults.lose_answers = s.rng.randrange(1, 8)
-    await s.pause()
+async def log_answers_lost(session: Session) -> None:
+    session.world.log.faults.lose_answers = session.rng.randrange(1, 8)
+    await session.pause()
 
 
-async def log_trimmed(s: Session) -> None:
+async def log_trimmed(session: Session) -> None:
+    """Write snapshots and trim the streams of the log up to them."""
     trims: dict[str, int] = {}
-    for daemon in list(s.world.daemons.values()):
+    for daemon in list(session.world.daemons.values()):
         stream = dc_stream(daemon.cfg.data_centre)
         as_of = daemon.ledger.next_offset
-        if s.world.daemons.get(daemon.cfg.name) is not daemon:
+        if session.world.daemons.get(daemon.cfg.name) is not daemon:
             continue
         if not daemon.ledger.whole or daemon.configuration.revision == 0:
             continue
-        before = s.world.log.streams[CELL_STREAM].tail
-        await s.on(daemon, daemon.snapshotter.write_all())
-        if s.world.log.streams[CELL_STREAM].tail > before:
+        before = session.world.log.streams[CELL_STREAM].tail
+        await session.call_daemon(daemon, daemon.snapshotter.write_all())
+        if session.world.log.streams[CELL_STREAM].tail > before:
             trims[stream] = as_of
             trims[CELL_STREAM] = before
     for stream, first in trims.items():
-        s.world.log.trim(stream, first)
+        session.world.log.trim(stream, first)
 
 
-async def _cut(s: Session, left: list[str], right: list[str]) -> None:
+async def _cut_links(session: Session, left: list[str], right: list[str]) -> None:
     pairs = {(a, b) for a in left for b in right}
     pairs |= {(b, a) for a, b in pairs}
-    s.world.network.faults.cut |= pairs
-    await s.pause()
-    s.world.network.faults.cut -= pairs
+    session.world.network.faults.cut |= pairs
+    await session.pause()
+    session.world.network.faults.cut -= pairs
+
 
+async def regions_part(session: Session) -> None:
+    await _cut_links(session, NAMES[:3], NAMES[3:])
 
-async def regions_part(s: Session) -> None:
-    await _cut(s, NAMES[:3], NAMES[3:])
 
+async def centre_splits(session: Session) -> None:
+    """Cut one daemon from the peers of its data centre.
 
-async def centre_splits(s: Session) -> None:
-    """Cut one daemon from its peers, sometimes from the log and half the hosts."""
-    name = s.pick("east")
+    With probability 0.5 it is cut from the log too, and each link between a daemon
+    and one of three hosts of the data centre with probability 0.25.
+    """
+    name = session.pick_daemon("east")
     if not name:
         return
     others = [x for x in NAMES if x.startswith("east") and x != name]
-    faults = s.world.log.faults
-    cut_log = s.rng.random() < 0.5
+    faults = session.world.log.faults
+    cut_log = session.rng.random() < 0.5
     hosts = {
-        (rng_name, host)
+        (daemon_name, host)
         for host in ("e0", "e1", "e2")
-        for rng_name in (name, *others)
-        if s.rng.random() < 0.25
+        for daemon_name in (name, *others)
+        if session.rng.random() < 0.25
     }
     if cut_log:
         faults.cut.add(name)
-    s.world.cut |= hosts
-    await _cut(s, [name], others)
-    s.world.cut -= hosts
+    session.world.cut |= hosts
+    await _cut_links(session, [name], others)
+    session.world.cut -= hosts
     faults.cut.discard(name)
 
 
-async def centre_without_platform(s: Session) -> None:
+async def centre_without_platform(session: Session) -> None:
     names = [name for name in NAMES if name.startswith("east")]
-    s.world.log.faults.cut |= set(names)
-    await s.pause()
-    s.world.log.faults.cut -= set(names)
+    session.world.log.faults.cut |= set(names)
+    await session.pause()
+    session.world.log.faults.cut -= set(names)
 
 
-async def one_way(s: Session) -> None:
-    a, b = s.pick("east"), s.pick("east")
+async def one_way(session: Session) -> None:
+    """Drop the messages from one daemon to another, but not those back."""
+    a, b = session.pick_daemon("east"), session.pick_daemon("east")
     if a and b and a != b:
-        s.world.network.faults.cut.add((a, b))
-        await s.pause()
-        s.world.network.faults.cut.discard((a, b))
+        session.world.network.faults.cut.add((a, b))
+        await session.pause()
+        session.world.network.faults.cut.discard((a, b))
 
 
-async def bad_links(s: Session) -> None:
-    faults = s.world.network.faults
+async def bad_links(session: Session) -> None:
+    """Lose, duplicate and delay messages between daemons."""
+    faults = session.world.network.faults
     faults.loss, faults.duplicate, faults.jitter = 0.1, 0.1, 0.3
-    await s.pause()
+    await session.pause()
     faults.loss = faults.duplicate = faults.jitter = 0.0
 
 
-async def cancel_wave(s: Session) -> None:
-    job = await s._submit("recount", 40, "wave")
+async def cancel_wave(session: Session) -> None:
+    """Submit a job of 40 tasks and cancel it within 2 s."""
+    job = await session._submit_job("recount", 40, "wave")
     if not job:
         return
-    await asyncio.sleep(s.rng.uniform(0.1, 2.0))
-    name = s.pick(job.rpartition(".")[0])
+    await asyncio.sleep(session.rng.uniform(0.1, 2.0))
+    name = session.pick_daemon(job.rpartition(".")[0])
     if not name:
         return
     try:
-        daemon = s.world.daemons[name]
-        view = await s.on(daemon, daemon.jobs.cancel(job))
+        daemon = session.world.daemons[name]
+        view = await session.call_daemon(daemon, daemon.jobs.cancel(job))
     except Refusal:
         return
     if view is not None:
-        s.seen.cancelled[job] = s.now()
+        session.seen.cancelled[job] = session.now()
 
 
-async def operators_race(s: Session) -> None:
-    texts = [s.world.text + f"# {s.rng.random()}\n" for _ in range(3)]
-    names = [s.pick() for _ in texts]
+async def operators_race(session: Session) -> None:
+    """Apply three configurations at the same time."""
+    texts = [session.world.text + f"# {session.rng.random()}\n" for _ in range(3)]
+    names = [session.pick_daemon() for _ in texts]
     results = await asyncio.gather(
-        *(_apply(s, n, t) for n, t in zip(names, texts, strict=True) if n)
+        *(
+            _apply_configuration(session, n, t)
+            for n, t in zip(names, texts, strict=True)
+            if n
+        )
     )
-    s.latest = max([s.latest, *results])
+    session.latest_revision = max([session.latest_revision, *results])
 
 
-async def _apply(s: Session, name: str, text: str) -> int:
-    daemon = s.world.daemons.get(name)
+async def _apply_configuration(session: Session, name: str, text: str) -> int:
+    daemon = session.world.daemons.get(name)
     if daemon is None:
         return 0
     try:
-        done = await s.on(daemon, daemon.publisher.apply(text, None))
+        done = await session.call_daemon(daemon, daemon.publisher.apply(text, None))
         return done.revision if done is not None else 0
     except (ConflictError, PlatformError, SiskinroadError):
         return 0
 
 
-async def host_leaves(s: Session) -> None:
-    worker = s.worker()
+async def host_leaves(session: Session) -> None:
+    """List a host as leaving for 8 s; does nothing beside other faults."""
+    worker = session.worker()
     centre = "east-1" if worker.name.startswith("e") else "west-1"
-    if s.faults != ["host_leaves"]:
+    if session.faults != ["host_leaves"]:
         return
-    s.world.log.set_listed(centre, worker.name, HostState.LEAVING)
-    since = s.now()
+    session.world.log.set_listed(centre, worker.name, HostState.LEAVING)
+    since = session.now()
     await asyncio.sleep(8.0)
-    s.world.log.set_listed(centre, worker.name, HostState.LIVE)
-    s.seen.left.append((worker.name, since, s.now()))
+    session.world.log.set_listed(centre, worker.name, HostState.LIVE)
+    session.seen.leaving_periods.append((worker.name, since, session.now()))
 
 
-async def rolling_replacement(s: Session) -> None:
-    if s.faults != ["rolling_replacement"]:
+async def rolling_replacement(session: Session) -> None:
+    """Drain and restart each daemon in turn; does nothing beside other faults."""
+    if session.faults != ["rolling_replacement"]:
         return
-    s.seen.must_answer = True
+    session.seen.must_answer = True
     for name in NAMES:
-        daemon = s.world.daemons[name]
-        del s.world.daemons[name]
+        daemon = session.world.daemons[name]
+        del session.world.daemons[name]
         await daemon.drain()
         await daemon.close()
-        s.world.start(name)
+        session.world.start(name)
         await asyncio.sleep(2.0)
 
 
@@ -471,7 +506,7 @@
 
 
 def run_session(seed: int, faults: list[str], fencing: bool) -> list[str]:
-    """Return the promises broken in one run."""
+    """Return a message for each invariant that one run violated."""
 
     async def main() -> list[str]:
         session = Session(seed, faults, fencing)
@@ -479,7 +514,9 @@
             async with asyncio.timeout(MAX_TIME):
                 return await session.run()
         except TimeoutError:
-            waiting = [task for tasks in session.asking.values() for task in tasks]
-            return [f"{len(waiting)} callers have no answer after {MAX_TIME} s"]
+            waiting = [
+                task for tasks in session.pending_calls.values() for task in tasks
+            ]
+            return [f"{len(waiting)} requests still pending after {MAX_TIME} s"]
 
     return run(main())
--- a/bench/invariants.py
+++ b/bench/invariants.py
@@ -1,4 +1,4 @@
-"""Checks of the promises, from what hosts, the platform and callers saw."""
+"""Checks of the invariants, from the observations of hosts, operators and callers."""
 
 from __future__ import annotations
 
@@ -8,80 +8,99 @@
 from siskinroad.resources import Resources
 from siskinroad.upstreams_memory import Event, MemoryWorker
 
+# Seconds after the host list shows a host as leaving in which it may still get tasks.
 LEAVING_TIME = 3.0
 
 
 @dataclass
-class Asked:
-    """A caller's request and what it was told: an answer, or a refusal."""
+class CallerRequest:
+    """Request of a caller and its answer or refusal; times in seconds of loop time."""
 
     body: bytes
     service: str
     idempotent: bool
-    asked: float
+    sent_at: float
     answer: bytes | None = None
     status: int = 0
     reason: str = ""
     outcome: str = ""
-    answered: float = 0.0
+    answered_at: float = 0.0
     repeated: bool = False
 
 
 @dataclass
 class Seen:
-    """Everything that was seen from outside.
-
-    ``revisions`` has (time, daemon, incarnation, revision) as operators read them,
-    ``accepted`` the jobs that callers were told are accepted, with their size, and
-    ``left`` the time at which the list showed a host as leaving, and until when.
+    """Observations from outside the daemons; times in seconds of loop time.
+
+    Attributes
+    ----------
+    asked : list of CallerRequest
+        Answered and refused requests.
+    revisions : list of tuple
+        Time, daemon, incarnation and revision, as an operator reads them.
+    accepted : dict
+        Number of tasks of each job that was reported to its caller as accepted.
+    cancelled : dict
+        Time at which the cancellation of a job was confirmed.
+    settled : set of str
+        Accepted jobs that have ended.
+    leaving_periods : list of tuple
+        Host, and the times from and until which the host list showed it as leaving.
+    must_answer : bool
+        Every request must be answered, as in a rolling replacement.
     """
 
-    asked: list[Asked] = field(default_factory=list)
+    asked: list[CallerRequest] = field(default_factory=list)
     revisions: list[tuple[float, str, int, int]] = field(default_factory=list)
     accepted: dict[str, int] = field(default_factory=dict)
     cancelled: dict[str, float] = field(default_factory=dict)
     settled: set[str] = field(default_factory=set)
-    left: list[tuple[str, float, float]] = field(default_factory=list)
+    leaving_periods: list[tuple[str, float, float]] = field(default_factory=list)
     must_answer: bool = False
 
 
 def check(seen: Seen, workers: dict[str, MemoryWorker]) -> list[str]:
-    """Return each broken promise as a sentence."""
-    faults: list[str] = []
-    events = sorted((e for w in workers.values() for e in w.events), key=_order)
-    faults += _overfill(events, workers)
-    faults += _twice(events)
-    faults += _answers(seen)
-    faults += _not_run(seen, events)
-    faults += _at_most_once(seen, events)
-    faults += _leaving(seen, events)
-    faults += _reverts(seen)
-    faults += _lost(seen)
-    faults += _cancelled(seen, events)
-    return faults
-
-
-def _order(event: Event) -> int:
+    """Return a message for each violation of an invariant."""
+    violations: list[str] = []
+    events = sorted((e for w in workers.values() for e in w.events), key=_event_number)
+    violations += _check_host_capacity(events, workers)
+    violations += _check_single_placement(events)
+    violations += _check_answers(seen)
+    violations += _check_refused_not_run(seen, events)
+    violations += _check_at_most_once(seen, events)
+    violations += _check_leaving_hosts(seen, events)
+    violations += _check_revisions(seen)
+    violations += _check_accepted_jobs(seen)
+    violations += _check_cancelled_jobs(seen, events)
+    return violations
+
+
+def _event_number(event: Event) -> int:
     return event.number
 
 
-def _overfill(events: list[Event], workers: dict[str, MemoryWorker]) -> list[str]:
+def _check_host_capacity(
+    events: list[Event], workers: dict[str, MemoryWorker]
+) -> list[str]:
     used: dict[str, Resources] = defaultdict(Resources)
-    faults = []
+    violations = []
     for event in events:
         if event.kind == "start":
             used[event.host] = used[event.host] + event.used
-            room = workers[event.host].capacity
-            if not used[event.host].fits(room):
-                faults.append(f"{event.host} overfilled at {event.time:.2f}")
+            host_capacity = workers[event.host].capacity
+            if not used[event.host].fits(host_capacity):
+                violations.append(
+                    f"{event.host} overfilled at {event.time:.2f} s: "
+                    "its tasks exceed its capacity"
+                )
         else:
             used[event.host] = used[event.host] - event.used
-    return faults
+    return violations
 
 
-def _twice(events: list[Event]) -> list[str]:
+def _check_single_placement(events: list[Event]) -> list[str]:
     running: dict[str, str] = {}
-    faults = []
+    violations = []
     for event in events:
         if event.body:
             continue
@@ -91,24 +110,32 @@
             continue
         if event.task in running:
             where = f"{running[event.task]} and {event.host}"
-            faults.append(f"{event.task} ran on {where} at {event.time:.2f}")
+            violations.append(
+                f"task {event.task} ran on {where} at the same time, "
+                f"from {event.time:.2f} s on"
+            )
         running[event.task] = event.host
-    return faults
+    return violations
 
 
-def _answers(seen: Seen) -> list[str]:
-    faults = []
+def _check_answers(seen: Seen) -> list[str]:
+    violations = []
     for asked in seen.asked:
         if asked.status == 200 and asked.answer != asked.body:
-            faults.append(f"{asked.body!r} got the answer {asked.answer!r}")
+            violations.append(f"request {asked.body!r} got the answer {asked.answer!r}")
         if asked.status == 0 and not asked.reason:
-            faults.append(f"{asked.body!r} got no answer")
+            violations.append(
+                f"request {asked.body!r} got neither an answer nor a refusal"
+            )
         if seen.must_answer and asked.status != 200:
-            faults.append(f"{asked.body!r} was cut: {asked.reason} {asked.outcome}")
-    return faults
+            violations.append(
+                f"request {asked.body!r} failed although all must be answered: "
+                f"{asked.reason} {asked.outcome}"
+            )
+    return violations
 
 
-def _starts(events: list[Event]) -> dict[bytes, int]:
+def _count_starts(events: list[Event]) -> dict[bytes, int]:
     starts: dict[bytes, int] = defaultdict(int)
     for event in events:
         if event.body and event.kind == "start":
@@ -116,60 +143,78 @@
     return starts
 
 
-def _not_run(seen: Seen, events: list[Event]) -> list[str]:
+def _check_refused_not_run(seen: Seen, events: list[Event]) -> list[str]:
     first: dict[bytes, float] = {}
     for event in events:
         if event.body and event.kind == "start":
             first.setdefault(event.body, event.time)
-    faults = []
+    violations = []
     for asked in seen.asked:
-        began = first.get(asked.body)
-        if asked.outcome != "not run" or began is None:
+        started_at = first.get(asked.body)
+        if asked.outcome != "not run" or started_at is None:
             continue
-        if began <= asked.answered or not asked.repeated:
-            faults.append(f"{asked.body!r} was not run ({asked.reason}) and ran")
-    return faults
-
-
-def _at_most_once(seen: Seen, events: list[Event]) -> list[str]:
-    starts = _starts(events)
-    once = {asked.body for asked in seen.asked if not asked.idempotent}
-    return [f"{body!r} ran {starts[body]} times" for body in once if starts[body] > 1]
-
-
-def _leaving(seen: Seen, events: list[Event]) -> list[str]:
-    faults = []
-    for host, since, until in seen.left:
+        if started_at <= asked.answered_at or not asked.repeated:
+            violations.append(
+                f"request {asked.body!r} was refused as not run "
+                f"({asked.reason}) but ran"
+            )
+    return violations
+
+
+def _check_at_most_once(seen: Seen, events: list[Event]) -> list[str]:
+    starts = _count_starts(events)
+    non_idempotent = {asked.body for asked in seen.asked if not asked.idempotent}
+    return [
+        f"request {body!r} ran {starts[body]} times, at most 1 is allowed"
+        for body in non_idempotent
+        if starts[body] > 1
+    ]
+
+
+def _check_leaving_hosts(seen: Seen, events: list[Event]) -> list[str]:
+    violations = []
+    for host, since, until in seen.leaving_periods:
         for event in events:
-            late = since + LEAVING_TIME < event.time < until
-            if event.host == host and event.kind == "start" and late:
-                faults.append(
-                    f"{host} got work {event.time - since:.1f} s after leaving"
+            is_late = since + LEAVING_TIME < event.time < until
+            if event.host == host and event.kind == "start" and is_late:
+                violations.append(
+                    f"{host} got work {event.time - since:.1f} s "
+                    "after it was listed as leaving"
                 )
-    return faults
+    return violations
 
 
-def _reverts(seen: Seen) -> list[str]:
+def _check_revisions(seen: Seen) -> list[str]:
     highest: dict[tuple[str, int], int] = {}
-    faults = []
+    violations = []
     for time, name, incarnation, revision in seen.revisions:
         key = (name, incarnation)
         if revision < highest.get(key, 0):
-            faults.append(f"{name} went back to revision {revision} at {time:.1f}")
+            violations.append(f"{name} reverted to revision {revision} at {time:.1f} s")
         highest[key] = max(revision, highest.get(key, 0))
-    return faults
+    return violations
 
 
-def _lost(seen: Seen) -> list[str]:
+def _check_accepted_jobs(seen: Seen) -> list[str]:
     missing = set(seen.accepted) - seen.settled
-    return [f"accepted job {job} was lost" for job in sorted(missing)]
+    return [
+        f"accepted job {job} did not end before the run did" for job in sorted(missing)
+    ]
 
 
-def _cancelled(seen: Seen, events: list[Event]) -> list[str]:
-    faults = []
+def _check_cancelled_jobs(seen: Seen, events: list[Event]) -> list[str]:
+    violations = []
     for event in events:
         job = event.task.partition("/")[0]
-        at = seen.cancelled.get(job)
-        if event.kind == "start" and not event.body and at and event.time > at:
-            faults.append(f"{event.task} started {event.time - at:.2f} s after cancel")
-    return faults
+        cancelled_at = seen.cancelled.get(job)
+        if (
+            event.kind == "start"
+            and not event.body
+            and cancelled_at
+            and event.time > cancelled_at
+        ):
+            violations.append(
+                f"task {event.task} started {event.time - cancelled_at:.2f} s "
+                "after its job was cancelled"
+            )
+    return violations
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,7 @@
-"""The promises under every cause of failure, alone, in pairs and in threes."""
+"""Invariants under injected faults: each fault alone, all pairs, and random triples.
+
+Further tests plant faults in the software and check that the invariants detect them.
+"""
 
 import itertools
 import logging
@@ -17,116 +20,129 @@
 from siskinroad.placement import HostIndex
 from siskinroad.shards import ShardSet
 
+# Faults that do nothing beside another fault.
 ALONE = {"host_leaves", "rolling_replacement"}
-TOGETHER = sorted(set(FAULTS) - ALONE)
-THREES = 200
+COMBINABLE = sorted(set(FAULTS) - ALONE)
+TRIPLE_COUNT = 200
 
 
-def _sessions():
+def _list_sessions():
     for name in sorted(FAULTS):
         for seed in range(6):
             yield seed, (name,), seed % 2 == 0
-    pairs = itertools.combinations_with_replacement(TOGETHER, 2)
+    pairs = itertools.combinations_with_replacement(COMBINABLE, 2)
     for seed, pair in enumerate(pairs, 100):
         yield seed, pair, seed % 2 == 0
     rng = random.Random(11)
-    for seed in range(1000, 1000 + THREES):
-        yield seed, tuple(rng.sample(TOGETHER, 3)), seed % 2 == 0
+    for seed in range(1000, 1000 + TRIPLE_COUNT):
+        yield seed, tuple(rng.sample(COMBINABLE, 3)), seed % 2 == 0
 
 
-def _run(session):
+def _run_one(session):
     logging.disable(logging.CRITICAL)
     seed, names, fencing = session
     return session, run_session(seed, list(names), fencing)
 
 
-def test_no_promise_is_broken():
-    sessions = list(_sessions())
+def test_no_invariant_is_violated():
+    sessions = list(_list_sessions())
     assert len(sessions) >= 500
     with ProcessPoolExecutor() as pool:
-        broken = [x for x in pool.map(_run, sessions, chunksize=4) if x[1]]
-    assert broken == []
+        violated = [x for x in pool.map(_run_one, sessions, chunksize=4) if x[1]]
+    assert violated == []
 
 
-def _faults(names, seeds=range(6), fencing=False):
+def _find_violations(names, seeds=range(6), fencing=False):
     logging.disable(logging.CRITICAL)
     try:
         for seed in seeds:
-            found = run_session(seed, names, fencing)
-            if found:
-                return " ".join(found)
+            violations = run_session(seed, names, fencing)
+            if violations:
+                return " ".join(violations)
         return ""
     finally:
         logging.disable(logging.NOTSET)
 
 
-# Planted faults: the checker must see each of them
+# Faults planted in the software: the invariant checks must detect each of them
 
 
-def test_the_checker_sees_overfilled_hosts(monkeypatch):
+def test_checks_detect_a_host_over_capacity(monkeypatch):
+    """Placement does not account for the tasks already on a host."""
     monkeypatch.setattr(HostIndex, "_change", lambda self, host, need, sign: None)
-    assert "overfilled" in _faults(["cancel_wave"])
+    assert "overfilled" in _find_violations(["cancel_wave"])
 
 
-def test_the_checker_sees_a_task_in_two_places(monkeypatch):
+def test_checks_detect_a_task_on_two_hosts(monkeypatch):
+    """The leases of a host count as expired at once, so that its tasks start again."""
     monkeypatch.setattr(hostwatch, "TASK_LEASE", -1.0)
-    assert " ran on " in _faults(["host_mute"], range(12))
+    assert " ran on " in _find_violations(["host_mute"], range(12))
 
 
-def test_the_checker_sees_crossed_answers(monkeypatch):
-    hear = Forwarder.hear_reply
+def test_checks_detect_swapped_answers(monkeypatch):
+    """A daemon pairs forwarded requests with the replies to earlier ones."""
+    original_hear = Forwarder.hear_reply
     last = {}
 
-    def crossed(self, msg):
+    def swap_replies(self, msg):
         swapped = last.get("msg", msg)
         last["msg"] = msg
-        return hear(self, type(msg)(msg.id, swapped.status, swapped.body))
+        return original_hear(self, type(msg)(msg.id, swapped.status, swapped.body))
+
+    monkeypatch.setattr(Forwarder, "hear_reply", swap_replies)
+    assert "got the answer" in _find_violations(["log_slow"])
 
-    monkeypatch.setattr(Forwarder, "hear_reply", crossed)
-    assert "got the answer" in _faults(["log_slow"])
 
+def test_checks_detect_a_request_refused_as_not_run_that_ran(monkeypatch):
+    """Each refusal claims that the request was not run."""
+    always_not_run = property(lambda self: Outcome.NOT_RUN, lambda self, value: None)
+    monkeypatch.setattr(Refusal, "outcome", always_not_run, raising=False)
+    assert "was refused as not run" in _find_violations(["host_mute"], range(12))
 
-def test_the_checker_sees_a_false_not_run(monkeypatch):
-    lie = property(lambda self: Outcome.NOT_RUN, lambda self, value: None)
-    monkeypatch.setattr(Refusal, "outcome", lie, raising=False)
-    assert "was not run" in _faults(["host_mute"], range(12))
 
+def test_checks_detect_a_second_run_of_a_keyed_request(monkeypatch):
+    """The idempotency guard runs each repetition of a request."""
 
-def test_the_checker_sees_a_second_run(monkeypatch):
-    async def careless(self, key, service, body, send):
+    async def run_without_key(self, key, service, body, send):
         return await send()
 
-    monkeypatch.setattr(KeyGuard, "run", careless)
-    assert "times" in _faults(["host_mute"], range(12))
+    monkeypatch.setattr(KeyGuard, "run", run_without_key)
+    assert "times" in _find_violations(["host_mute"], range(12))
 
 
-def test_the_checker_sees_work_on_a_leaving_host(monkeypatch):
+def test_checks_detect_work_on_a_leaving_host(monkeypatch):
+    """Owners ignore changes of the host list."""
     monkeypatch.setattr(ShardSet, "_apply_list", lambda self, owner: None)
-    assert "after leaving" in _faults(["host_leaves"])
+    assert "after it was listed as leaving" in _find_violations(["host_leaves"])
+
 
+def test_checks_detect_a_shutdown_that_drops_requests(monkeypatch):
+    """A daemon stops without draining its requests."""
 
-def test_the_checker_sees_a_stop_that_cuts_requests(monkeypatch):
-    async def abrupt(self):
+    async def drain_at_once(self):
         return True
 
-    monkeypatch.setattr(Daemon, "drain", abrupt)
-    assert "was cut" in _faults(["rolling_replacement"])
+    monkeypatch.setattr(Daemon, "drain", drain_at_once)
+    assert "failed although all must be answered" in _find_violations(
+        ["rolling_replacement"]
+    )
 
 
-def test_the_checker_sees_a_reverted_configuration(monkeypatch):
+def test_checks_detect_a_reverted_configuration(monkeypatch):
+    """A daemon that reads revision 3 goes back to revision 2."""
     apply = Configuration.apply
 
-    def forgetful(self, offset, records):
+    def apply_and_revert(self, offset, records):
         changed = apply(self, offset, records)
         if self.revision == 3:
             self.revision = 2
         return changed
 
-    monkeypatch.setattr(Configuration, "apply", forgetful)
+    monkeypatch.setattr(Configuration, "apply", apply_and_revert)
     names = ["operators_race", "operators_race"]
-    assert "revision" in _faults(names)
+    assert "revision" in _find_violations(names)
 
 
 @pytest.mark.parametrize("fencing", [False, True])
-def test_without_faults_nothing_is_refused(fencing):
-    assert _faults([], range(2), fencing) == ""
+def test_without_faults_no_invariant_is_violated(fencing):
+    assert _find_violations([], range(2), fencing) == ""
