--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,6 +1,6 @@
-"""The tables of ``docs/CAPACITY.md``, worked out from the recorded measurements.
+"""Tables of ``docs/CAPACITY.md``, computed from the recorded measurements.
 
-``python -m bench.capacity`` writes them between the marks on the page.
+``python -m bench.capacity`` replaces the text between the two marks on the page.
 """
 
 from __future__ import annotations
@@ -14,62 +14,73 @@
 
 DOCS = Path(__file__).parent.parent / "docs"
 PAGE = DOCS / "CAPACITY.md"
-BEGIN, END = "<!-- tables -->", "<!-- end of tables -->"
+BEGIN_MARK, END_MARK = "<!-- tables -->", "<!-- end of tables -->"
 
-# The size to design for
+# The design size: counts over all data centres unless a name says otherwise
 HOSTS = 4500
-RUNNING = 16_000
-QUEUED = 100_000
-STARTS = 1800
-JOBS = 49_000
+RUNNING_TASKS = 16_000
+QUEUED_TASKS = 100_000
+STARTS = 1800  # task starts; no table uses it
+JOBS_PER_DAY = 49_000
 OWNERS = 58
-CENTRES = 10
-DAEMONS = 7
-CHANGES = 3300
-HOST_FAILURES = 53
-RESTARTS = 240
-SHARDS = 7
-DAY = 86_400.0
-IMPORTS_MB = 30.3
-CORE = 0.011
-MEMORY_MB = 32.0
-BYTES = 5000.0
-INVENTORY_WAIT = 10.0
-APPENDS = 250
-
-
-def read(name: str) -> Any:
+DATA_CENTRES = 10
+DAEMONS_PER_CENTRE = 7
+CHANGES_PER_DAY = 3300
+HOST_FAILURES_PER_DAY = 53
+RESTARTS_PER_DAY = 240
+SHARDS_PER_CENTRE = 7
+DAY_S = 86_400.0
+
+# Resident memory of a daemon that has imported its modules and holds no state, in MB
+PROGRAM_MB = 30.3
+
+# Time that a host holds an inventory request open, in seconds: each host gets one
+# request in this time
+INVENTORY_WAIT_S = 10.0
+
+# Bounds for one daemon: share of a processor core at rest, resident memory in MB,
+# control bytes sent a second
+CORE_BOUND = 0.011
+MEMORY_BOUND_MB = 32.0
+CONTROL_BYTES_BOUND = 5000.0
+
+# Appends a second that all data centres together may make to the log
+APPENDS_BOUND = 250
+
+
+def read_measurements(name: str) -> Any:
+    """Return the content of a JSON file of ``docs/``."""
     return json.loads((DOCS / name).read_text())
 
 
-def memory_rows(slopes: dict[str, Any]) -> list[dict[str, Any]]:
-    """Return the state of one daemon of a data centre, by kind."""
-    per = slopes["memory"]
+def estimate_memory(slopes: dict[str, Any]) -> list[dict[str, Any]]:
+    """Estimate the memory of one daemon at the design size, by kind of state."""
+    fits = slopes["memory"]
     counts = {
         "host in the cell file": HOSTS,
         "owner": OWNERS,
-        "host owned": HOSTS / CENTRES / DAEMONS,
-        "running task": RUNNING / CENTRES / DAEMONS,
-        "queued task": QUEUED / CENTRES / DAEMONS,
-        "job in the ledger": JOBS / CENTRES / 24 + 1000,
+        "host owned": HOSTS / DATA_CENTRES / DAEMONS_PER_CENTRE,
+        "running task": RUNNING_TASKS / DATA_CENTRES / DAEMONS_PER_CENTRE,
+        "queued task": QUEUED_TASKS / DATA_CENTRES / DAEMONS_PER_CENTRE,
+        "job in the ledger": JOBS_PER_DAY / DATA_CENTRES / 24 + 1000,
         "key in the ledger": 5000,
     }
     rows = []
     for name, count in counts.items():
-        each = per[name]["slope"]
+        bytes_each = fits[name]["slope"]
         rows.append(
             {
                 "state": name,
-                "bytes each": round(each),
+                "bytes each": round(bytes_each),
                 "count": round(count),
-                "MB": round(each * count / 1e6, 2),
+                "MB": round(bytes_each * count / 1e6, 2),
             }
         )
     rows.append(
         {
             "state": "program and libraries",
             "count": 1,
-            "MB": IMPORTS_MB,
+            "MB": PROGRAM_MB,
             "bytes each": "",
         }
     )
@@ -78,94 +89,106 @@
     return rows
 
 
-def byte_rows(slopes: dict[str, Any]) -> list[dict[str, Any]]:
-    """Return bytes a second that one daemon sends for control."""
+def estimate_control_bytes(slopes: dict[str, Any]) -> list[dict[str, Any]]:
+    """Estimate the control bytes a second that one daemon sends, by message."""
     size = slopes["messages"]
-    peers = DAEMONS - 1
-    named = size["heartbeat that names the admitted"]
-    beat = (3 * size["heartbeat"] + named) / 4
-    beat += size["heartbeat, a shard more"] * SHARDS / DAEMONS
-    change = size["change record"] * CHANGES / DAY
-    starts = JOBS / CENTRES / DAY * (size["job record"] + size["end record"])
-    digest = size["digest"] + (SHARDS - 1) * size["digest, a shard more"]
-    passed_on = 9 * peers * digest / 10 / DAEMONS
-    inventory = HOSTS / CENTRES / DAEMONS / INVENTORY_WAIT * 220
+    peers = DAEMONS_PER_CENTRE - 1
+    with_members = size["heartbeat that names the admitted"]
+    mean_heartbeat = (3 * size["heartbeat"] + with_members) / 4
+    mean_heartbeat += (
+        size["heartbeat, a shard more"] * SHARDS_PER_CENTRE / DAEMONS_PER_CENTRE
+    )
+    change_bytes = size["change record"] * CHANGES_PER_DAY / DAY_S
+    job_bytes = (
+        JOBS_PER_DAY / DATA_CENTRES / DAY_S * (size["job record"] + size["end record"])
+    )
+    digest_bytes = (
+        size["digest"] + (SHARDS_PER_CENTRE - 1) * size["digest, a shard more"]
+    )
+    relayed = 9 * peers * digest_bytes / 10 / DAEMONS_PER_CENTRE
+    inventory = HOSTS / DATA_CENTRES / DAEMONS_PER_CENTRE / INVENTORY_WAIT_S * 220
     rows = [
-        ("heartbeats, 2 a second", 2 * peers * beat, 2 * peers * beat),
+        (
+            "heartbeats, 2 a second",
+            2 * peers * mean_heartbeat,
+            2 * peers * mean_heartbeat,
+        ),
         (
             "tails and records of the log",
-            peers * (2 * size["tail"] + change + starts),
+            peers * (2 * size["tail"] + change_bytes + job_bytes),
             0.0,
         ),
-        ("digests to other data centres, 1 in 10 s", 9 * digest / 10, 0.0),
-        ("digests passed on", passed_on, passed_on),
+        ("digests to other data centres, 1 in 10 s", 9 * digest_bytes / 10, 0.0),
+        ("digests passed on", relayed, relayed),
         ("inventories", inventory, inventory),
     ]
-    found = [
+    table_rows = [
         {"control": name, "reader B/s": round(reader), "other B/s": round(other)}
         for name, reader, other in rows
     ]
-    found.append(
+    table_rows.append(
         {
             "control": "sum",
-            "reader B/s": sum(row["reader B/s"] for row in found),
-            "other B/s": sum(row["other B/s"] for row in found),
+            "reader B/s": sum(row["reader B/s"] for row in table_rows),
+            "other B/s": sum(row["other B/s"] for row in table_rows),
         }
     )
-    return found
+    return table_rows
 
 
-def append_rows() -> list[dict[str, Any]]:
-    """Return appends a second to the whole log."""
-    restarts = (HOST_FAILURES + RESTARTS) / DAY
+def estimate_appends() -> list[dict[str, Any]]:
+    """Estimate the appends a second to the log, by record."""
+    restart_rate = (HOST_FAILURES_PER_DAY + RESTARTS_PER_DAY) / DAY_S
     rows = [
-        ("job accepted and ended", 2 * JOBS / DAY),
+        ("job accepted and ended", 2 * JOBS_PER_DAY / DAY_S),
         (
             "ends of tasks at the peak, batched each 5 ms at most",
-            CENTRES * DAEMONS * 2.0,
+            DATA_CENTRES * DAEMONS_PER_CENTRE * 2.0,
         ),
-        ("joins, claims, releases", restarts * (2 + SHARDS)),
-        ("changes of configuration", CHANGES / DAY),
-        ("snapshots, 1 in 10 minutes, 12 parts", (CENTRES + 1) * 12 / 600),
+        ("joins, claims, releases", restart_rate * (2 + SHARDS_PER_CENTRE)),
+        ("changes of configuration", CHANGES_PER_DAY / DAY_S),
+        ("snapshots, 1 in 10 minutes, 12 parts", (DATA_CENTRES + 1) * 12 / 600),
     ]
-    found = [{"records": name, "appends/s": round(rate, 3)} for name, rate in rows]
-    total = round(sum(row["appends/s"] for row in found), 1)
-    found.append({"records": "sum", "appends/s": total})
-    return found
+    table_rows = [{"records": name, "appends/s": round(rate, 3)} for name, rate in rows]
+    total = round(sum(row["appends/s"] for row in table_rows), 1)
+    table_rows.append({"records": "sum", "appends/s": total})
+    return table_rows
 
 
-def region_rows(slopes: dict[str, Any]) -> list[dict[str, Any]]:
-    """Return bytes that cross regions, by what causes them."""
+def estimate_region_bytes(slopes: dict[str, Any]) -> list[dict[str, Any]]:
+    """Estimate the bytes that cross regions, by cause."""
     size = slopes["messages"]
-    pair = slopes["abroad"]["digest bytes a second, pair"]
+    pair_rate = slopes["abroad"]["digest bytes a second, pair"]
     return [
         {"cause": "a request served at home", "bytes": 0},
         {"cause": "a task start at home", "bytes": 0},
         {"cause": "a change, for each data centre", "bytes": size["change record"]},
         {
             "cause": "an idle hour, a pair of data centres (measured)",
-            "bytes": round(pair * 3600),
+            "bytes": round(pair_rate * 3600),
         },
-        {"cause": "a second at rest, a pair (target 1,000)", "bytes": round(pair)},
+        {"cause": "a second at rest, a pair (target 1,000)", "bytes": round(pair_rate)},
     ]
 
 
-def verdict_rows(
+def compare_with_bounds(
     slopes: dict[str, Any], processes: list[dict[str, Any]]
 ) -> list[dict[str, Any]]:
-    """Return the allowed amounts beside what follows for one daemon."""
-    memory = memory_rows(slopes)[-1]["MB"]
-    sent = byte_rows(slopes)[-1]
-    seven = next(row for row in processes if row["daemons"] == DAEMONS)
-    appends = append_rows()[-1]["appends/s"]
+    """Compare each bound with the estimate or measurement that it limits."""
+    memory = estimate_memory(slopes)[-1]["MB"]
+    sent = estimate_control_bytes(slopes)[-1]
+    idle_daemons = next(
+        row for row in processes if row["daemons"] == DAEMONS_PER_CENTRE
+    )
+    appends = estimate_appends()[-1]["appends/s"]
     rows = [
-        ("memory MB", MEMORY_MB, memory),
-        ("memory at rest MB, 7 true daemons", MEMORY_MB, seven["MB max"]),
-        ("core at rest, median of 7", CORE, seven["core median"]),
-        ("core at rest, the reader of 7", CORE, seven["core max"]),
-        ("control B/s, reader", BYTES, sent["reader B/s"]),
-        ("control B/s, other", BYTES, sent["other B/s"]),
-        ("appends/s, whole log", APPENDS, appends),
+        ("memory MB", MEMORY_BOUND_MB, memory),
+        ("memory at rest MB, 7 true daemons", MEMORY_BOUND_MB, idle_daemons["MB max"]),
+        ("core at rest, median of 7", CORE_BOUND, idle_daemons["core median"]),
+        ("core at rest, the reader of 7", CORE_BOUND, idle_daemons["core max"]),
+        ("control B/s, reader", CONTROL_BYTES_BOUND, sent["reader B/s"]),
+        ("control B/s, other", CONTROL_BYTES_BOUND, sent["other B/s"]),
+        ("appends/s, whole log", APPENDS_BOUND, appends),
     ]
     return [
         {
@@ -178,17 +201,20 @@
     ]
 
 
-def tables() -> str:
-    """Return every table as it stands on the page."""
-    slopes, processes = read("slopes.json"), read("processes.json")
+def render_tables() -> str:
+    """Render all tables of the page as Markdown."""
+    slopes, processes = (
+        read_measurements("slopes.json"),
+        read_measurements("processes.json"),
+    )
     parts = [
-        ("Bounds", verdict_rows(slopes, processes)),
-        ("State of one daemon", memory_rows(slopes)),
-        ("Control bytes that one daemon sends", byte_rows(slopes)),
-        ("Appends, all data centres", append_rows()),
-        ("Bytes across regions", region_rows(slopes)),
+        ("Bounds", compare_with_bounds(slopes, processes)),
+        ("State of one daemon", estimate_memory(slopes)),
+        ("Control bytes that one daemon sends", estimate_control_bytes(slopes)),
+        ("Appends, all data centres", estimate_appends()),
+        ("Bytes across regions", estimate_region_bytes(slopes)),
         ("True daemons at rest", processes),
-        ("The carried request", read("carried.json")),
+        ("The carried request", read_measurements("carried.json")),
     ]
     lines = []
     for title, rows in parts:
@@ -198,11 +224,12 @@
 
 
 def main() -> int:
+    """Write the tables to the page and print them."""
     text = PAGE.read_text()
-    head, rest = text.split(BEGIN)
-    tail = rest.split(END)[1]
-    PAGE.write_text(f"{head}{BEGIN}\n\n{tables()}\n{END}{tail}")
-    print(tables())
+    head, rest = text.split(BEGIN_MARK)
+    tail = rest.split(END_MARK)[1]
+    PAGE.write_text(f"{head}{BEGIN_MARK}\n\n{render_tables()}\n{END_MARK}{tail}")
+    print(render_tables())
     return 0
 
 
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,7 +1,11 @@
-"""True daemons over loopback: memory, processor, control bytes, changes in force.
+"""Benchmark of real daemon processes that communicate over loopback.
+
+It measures the memory, processor time and control bytes of idle daemons, the time
+until a changed cell file is in force, and the cost of proxying a request to a host.
 
 ``python -m bench.processes [DAEMONS ...]`` writes ``docs/processes.json``;
-``python -m bench.processes carried`` measures the carried request.
+``python -m bench.processes carried`` compares proxied with direct requests and
+writes ``docs/carried.json``.
 """
 
 from __future__ import annotations
@@ -31,12 +35,14 @@
 from siskinroad.upstreams_memory import MemoryWorker
 
 ROOT = Path(__file__).parent.parent
-PER_CENTRE = 7
-TICKS = os.sysconf("SC_CLK_TCK")
-REST = 20.0
+DAEMONS_PER_CENTRE = 7
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+
+# Time over which idle daemons are measured, in seconds
+IDLE_TIME_S = 20.0
 
 
-def _cell(centres: list[str]) -> str:
+def _make_cell_text(centres: list[str]) -> str:
     text = 'name = "many"\n[[owners]]\nname = "o"\n'
     for centre in centres:
         text += f'[[regions]]\nname = "{centre}r"\ndata_centres = ["{centre}"]\n'
@@ -50,22 +56,30 @@
     return text + 'urgency = "urgent"\nidempotent = true\nlocality = "data_centre"\n'
 
 
-class Site:
-    """Many daemons as processes."""
+class DaemonGroup:
+    """Daemons in processes of their own, with the hosts and platform in this one.
+
+    Parameters
+    ----------
+    daemons : int
+        How many to start; each data centre has ``DAEMONS_PER_CENTRE`` of them.
+    folder : Path
+        Where their settings files are written.
+    """
 
     def __init__(self, daemons: int, folder: Path) -> None:
         self.folder = folder
-        names = [(f"c{i // PER_CENTRE}", i) for i in range(daemons)]
+        names = [(f"c{i // DAEMONS_PER_CENTRE}", i) for i in range(daemons)]
         self.names = [f"{c}d{i}" for c, i in names]
         self.centre = dict(zip(self.names, (c for c, _ in names), strict=True))
-        self.text = _cell(sorted(set(self.centre.values())))
+        self.text = _make_cell_text(sorted(set(self.centre.values())))
         self.pool = HttpPool()
         self.procs: dict[str, subprocess.Popen] = {}
         self.log = MemoryLog()
 
-    async def open(self) -> None:
+    async def start_all(self) -> None:
         platform = PlatformServer(self.log)
-        at = await platform.http.listen("127.0.0.1:0")
+        platform_address = await platform.http.listen("127.0.0.1:0")
         cell = parse_cell(self.text)
         for host in cell.hosts():
             capacity = cell.pools["p"].capacity
@@ -77,24 +91,24 @@
         ports = free_addresses(3 * len(self.names))
         self.ports = {n: ports[3 * i : 3 * i + 3] for i, n in enumerate(self.names)}
         for name in self.names:
-            self._start(name, at)
-        await self._until(self._all_up)
+            self._start_daemon(name, platform_address)
+        await self._wait_until(self._are_all_healthy)
 
-    def _start(self, name: str, platform: str) -> None:
+    def _start_daemon(self, name: str, platform_address: str) -> None:
         callers, operators, peers = self.ports[name]
         centre = self.centre[name]
         lines = [
             f'name = "{name}"\ndata_centre = "{centre}"\nregion = "{centre}r"',
             f'callers = "{callers}"\noperators = "{operators}"',
-            f'peer_address = "{peers}"\nplatform = "{platform}"',
+            f'peer_address = "{peers}"\nplatform = "{platform_address}"',
             'log_level = "error"',
         ]
         for other in self.names:
             if other != name:
-                place = self.centre[other]
+                other_centre = self.centre[other]
                 lines.append(
                     f'[[peers]]\nname = "{other}"\naddress = "{self.ports[other][2]}"\n'
-                    f'data_centre = "{place}"\nregion = "{place}r"'
+                    f'data_centre = "{other_centre}"\nregion = "{other_centre}r"'
                 )
         (self.folder / f"{name}.toml").write_text("\n".join(lines))
         self.procs[name] = subprocess.Popen(
@@ -103,52 +117,59 @@
             env={**os.environ, "PYTHONPATH": str(ROOT)},
         )
 
-    async def ask(self, name: str, method: str, target: str, body: bytes = b"") -> Any:
+    async def send_request(
+        self, name: str, method: str, target: str, body: bytes = b""
+    ) -> Any:
         return await self.pool.request(
             self.ports[name][1], method, target, body=body, limit=30.0
         )
 
-    async def _all_up(self) -> bool:
+    async def _are_all_healthy(self) -> bool:
         for name in self.names:
-            await self.ask(name, "GET", "/healthz")
+            await self.send_request(name, "GET", "/healthz")
         return True
 
-    async def _until(self, check: Any) -> None:
+    async def _wait_until(self, condition: Any) -> None:
         for _ in range(600):
             try:
-                if await check():
+                if await condition():
                     return
             except SiskinroadError:
                 pass
             await asyncio.sleep(0.1)
-        raise RuntimeError("the daemons did not come up")
+        raise RuntimeError("the daemons did not reach the expected state in 600 tries")
 
-    async def apply(self, text: str) -> float:
-        """Apply a file; return the seconds until every daemon has it."""
+    async def apply_cell(self, text: str) -> float:
+        """Apply a cell file; return the seconds until all daemons have it in force."""
         began = time.perf_counter()
-        answer = await self.ask(self.names[0], "PUT", "/v1/cell", text.encode())
+        answer = await self.send_request(
+            self.names[0], "PUT", "/v1/cell", text.encode()
+        )
         revision = json.loads(answer.body)["revision"]
 
-        async def everywhere() -> bool:
+        async def is_in_force_everywhere() -> bool:
             answers = await asyncio.gather(
-                *(self.ask(name, "GET", "/v1/status") for name in self.names)
+                *(self.send_request(name, "GET", "/v1/status") for name in self.names)
             )
             return all(json.loads(a.body)["revision"] >= revision for a in answers)
 
-        await self._until(everywhere)
+        await self._wait_until(is_in_force_everywhere)
         return time.perf_counter() - began
 
     def spent(self, name: str) -> float:
+        """Return the processor time that a daemon has used, in seconds."""
         fields = Path(f"/proc/{self.procs[name].pid}/stat").read_text().split()
-        return (int(fields[13]) + int(fields[14])) / TICKS
+        return (int(fields[13]) + int(fields[14])) / CLOCK_TICKS_PER_S
 
-    def resident(self, name: str) -> float:
+    def read_resident_mb(self, name: str) -> float:
+        """Return the resident memory of a daemon, in MB."""
         text = Path(f"/proc/{self.procs[name].pid}/status").read_text()
         found = re.search(r"VmRSS:\s+(\d+)", text)
         return int(found.group(1)) / 1024 if found else 0.0
 
     async def sent(self, name: str) -> int:
-        text = (await self.ask(name, "GET", "/metrics")).body.decode()
+        """Return the bytes that a daemon has sent to its peers."""
+        text = (await self.send_request(name, "GET", "/metrics")).body.decode()
         found = re.findall(r"^siskinroad_peer_sent_bytes\{.*\} (\S+)$", text, re.M)
         return int(sum(map(float, found)))
 
@@ -159,42 +180,44 @@
             proc.wait()
 
 
-async def at_rest(daemons: int) -> dict[str, Any]:
-    """Return what a daemon costs at rest among so many."""
+async def measure_at_rest(daemons: int) -> dict[str, Any]:
+    """Measure the cost of an idle daemon in a group of this size."""
     with tempfile.TemporaryDirectory() as folder:
-        site = Site(daemons, Path(folder))
+        group = DaemonGroup(daemons, Path(folder))
         try:
-            await site.open()
-            await site.apply(site.text)
+            await group.start_all()
+            await group.apply_cell(group.text)
             await asyncio.sleep(8.0)
-            spent = {name: site.spent(name) for name in site.names}
-            sent = {name: await site.sent(name) for name in site.names}
+            spent = {name: group.spent(name) for name in group.names}
+            sent = {name: await group.sent(name) for name in group.names}
             began = time.perf_counter()
-            await asyncio.sleep(REST)
-            passed = time.perf_counter() - began
-            cpu = [(site.spent(n) - spent[n]) / passed for n in site.names]
-            out = [(await site.sent(n) - sent[n]) / passed for n in site.names]
-            rss = [site.resident(name) for name in site.names]
-            change = await site.apply(site.text + "# changed\n")
+            await asyncio.sleep(IDLE_TIME_S)
+            elapsed_s = time.perf_counter() - began
+            core_shares = [(group.spent(n) - spent[n]) / elapsed_s for n in group.names]
+            sent_rates = [
+                (await group.sent(n) - sent[n]) / elapsed_s for n in group.names
+            ]
+            resident_mb = [group.read_resident_mb(name) for name in group.names]
+            change_s = await group.apply_cell(group.text + "# changed\n")
         finally:
-            site.close()
+            group.close()
     return {
         "daemons": daemons,
-        "data centres": -(-daemons // PER_CENTRE),
-        "core median": round(percentile(cpu, 0.5), 4),
-        "core max": round(max(cpu), 4),
-        "MB median": round(percentile(rss, 0.5), 1),
-        "MB max": round(max(rss), 1),
-        "B/s median": round(percentile(out, 0.5)),
-        "B/s max": round(max(out)),
-        "change in force s": round(change, 2),
+        "data centres": -(-daemons // DAEMONS_PER_CENTRE),
+        "core median": round(percentile(core_shares, 0.5), 4),
+        "core max": round(max(core_shares), 4),
+        "MB median": round(percentile(resident_mb, 0.5), 1),
+        "MB max": round(max(resident_mb), 1),
+        "B/s median": round(percentile(sent_rates, 0.5)),
+        "B/s max": round(max(sent_rates)),
+        "change in force s": round(change_s, 2),
     }
 
 
-# The carried request
+# A request that a daemon proxies to a host, compared with a direct one
 
 
-def _worker_process(pipe: Any) -> None:
+def _run_echo_host(pipe: Any) -> None:
     async def main() -> None:
         async def echo(req: Any) -> Any:
             from siskinroad.httpd import HttpResponse
@@ -210,93 +233,104 @@
     asyncio.run(main())
 
 
-async def _rate(address: str, target: str, size: int, lanes: int, seconds: float):
-    """Keep so many requests in progress; return their times and the rate."""
-    pool = HttpPool(lanes)
+async def _measure_rate(
+    address: str, target: str, size: int, concurrency: int, seconds: float
+):
+    """Keep so many requests open; return their times in s and their rate a second."""
+    pool = HttpPool(concurrency)
     body = b"x" * size
     times: list[float] = []
-    until = time.perf_counter() + seconds
+    end_time = time.perf_counter() + seconds
 
-    async def lane() -> None:
-        while time.perf_counter() < until:
+    async def send_repeatedly() -> None:
+        while time.perf_counter() < end_time:
             began = time.perf_counter()
             answer = await pool.request(address, "POST", target, body=body)
             assert answer.status == 200, answer
             assert answer.body == body
             times.append(time.perf_counter() - began)
 
-    await asyncio.gather(*(lane() for _ in range(lanes)))
+    await asyncio.gather(*(send_repeatedly() for _ in range(concurrency)))
     pool.close()
     return times, len(times) / seconds
 
 
-async def _paced(address: str, target: str, size: int, rate: float, seconds: float):
+async def _measure_latencies(
+    address: str, target: str, size: int, rate: float, seconds: float
+):
+    """Send requests at a fixed rate a second; return their times in s."""
     pool = HttpPool(64)
     body = b"x" * size
     times: list[float] = []
 
-    async def one() -> None:
+    async def send_one() -> None:
         began = time.perf_counter()
         await pool.request(address, "POST", target, body=body)
         times.append(time.perf_counter() - began)
 
     tasks = []
     for _ in range(int(rate * seconds)):
-        tasks.append(asyncio.create_task(one()))
+        tasks.append(asyncio.create_task(send_one()))
         await asyncio.sleep(1 / rate)
     await asyncio.gather(*tasks)
     pool.close()
     return times
 
 
-async def carried() -> list[dict[str, Any]]:
-    """Compare a request through one daemon with a direct one."""
-    ours, theirs = multiprocessing.Pipe()
-    worker = multiprocessing.Process(target=_worker_process, args=(theirs,))
-    worker.start()
-    direct = ours.recv()
+async def measure_proxied() -> list[dict[str, Any]]:
+    """Compare requests through one daemon with direct ones, by body size."""
+    parent_end, child_end = multiprocessing.Pipe()
+    host_process = multiprocessing.Process(target=_run_echo_host, args=(child_end,))
+    host_process.start()
+    direct_address = parent_end.recv()
     rows = []
     with tempfile.TemporaryDirectory() as folder:
-        site = Site(1, Path(folder))
+        group = DaemonGroup(1, Path(folder))
         try:
-            await site.open()
-            text = re.sub(r'address = "[^"]+"', f'address = "{direct}"', site.text)
-            await site.apply(text.replace("cpu = 32", "cpu = 64\nslots = 64"))
+            await group.start_all()
+            text = re.sub(
+                r'address = "[^"]+"', f'address = "{direct_address}"', group.text
+            )
+            await group.apply_cell(text.replace("cpu = 32", "cpu = 64\nslots = 64"))
             await asyncio.sleep(3.0)
-            through = site.ports[site.names[0]][0]
+            daemon_address = group.ports[group.names[0]][0]
             for size in (1024, 65536):
-                rows.append(await _compare(direct, through, size))
+                rows.append(
+                    await _compare_with_direct(direct_address, daemon_address, size)
+                )
         finally:
-            site.close()
-            worker.kill()
+            group.close()
+            host_process.kill()
     return rows
 
 
-async def _compare(direct: str, through: str, size: int) -> dict[str, Any]:
+async def _compare_with_direct(
+    direct_address: str, daemon_address: str, size: int
+) -> dict[str, Any]:
     target = "/v1/services/s"
-    _, plain = await _rate(direct, "/s", size, 16, 4.0)
-    _, rate = await _rate(through, target, size, 16, 4.0)
-    base = await _paced(direct, "/s", size, rate / 2, 4.0)
-    times = await _paced(through, target, size, rate / 2, 4.0)
-    added = percentile(times, 0.5) - percentile(base, 0.5)
+    _, direct_rate = await _measure_rate(direct_address, "/s", size, 16, 4.0)
+    _, rate = await _measure_rate(daemon_address, target, size, 16, 4.0)
+    direct_times = await _measure_latencies(direct_address, "/s", size, rate / 2, 4.0)
+    times = await _measure_latencies(daemon_address, target, size, rate / 2, 4.0)
+    added_median_s = percentile(times, 0.5) - percentile(direct_times, 0.5)
     return {
         "bytes": size,
-        "direct a second": round(plain),
+        "direct a second": round(direct_rate),
         "carried a second": round(rate),
-        "added median ms": round(added * 1000, 2),
+        "added median ms": round(added_median_s * 1000, 2),
         "added p99 ms": round(
-            (percentile(times, 0.99) - percentile(base, 0.99)) * 1000, 2
+            (percentile(times, 0.99) - percentile(direct_times, 0.99)) * 1000, 2
         ),
     }
 
 
-def main(words: list[str]) -> int:
-    if words == ["carried"]:
-        rows = asyncio.run(carried())
+def main(arguments: list[str]) -> int:
+    if arguments == ["carried"]:
+        rows = asyncio.run(measure_proxied())
         name = "carried.json"
     else:
-        sizes = [int(word) for word in words] or [1, 7, 21, 70]
-        rows = [asyncio.run(at_rest(size)) for size in sizes]
+        sizes = [int(argument) for argument in arguments] or [1, 7, 21, 70]
+        rows = [asyncio.run(measure_at_rest(size)) for size in sizes]
         name = "processes.json"
     print(table(list(rows[0]), rows))
     (ROOT / "docs" / name).write_text(json.dumps(rows, indent=1) + "\n")
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -1,4 +1,8 @@
-"""More seeded fault sessions than CI runs: python -m bench.soak [RUNS] [SEED]."""
+"""Soak test with many more seeded fault sessions than CI runs.
+
+``python -m bench.soak [RUNS] [SEED]`` runs the seeds from SEED on and prints those
+whose session violates an invariant.
+"""
 
 from __future__ import annotations
 
@@ -9,35 +13,40 @@
 
 from bench.faults import FAULTS, run_session
 
-ALONE = {"host_leaves", "rolling_replacement"}
-RUNS = 3000
+# Faults that are not combined with others
+EXCLUSIVE_FAULTS = {"host_leaves", "rolling_replacement"}
+# Sessions if the command names no number
+DEFAULT_RUNS = 3000
+
 
+def run_seeded_session(seed: int) -> tuple[int, list[str], list[str]]:
+    """Run two to four random faults, or one exclusive fault, under one seed.
 
-def run_one(seed: int) -> tuple[int, list[str], list[str]]:
-    """Run two to four random causes under one seed."""
+    Returns the seed, the faults and the violated invariants.
+    """
     logging.disable(logging.CRITICAL)
     rng = random.Random(seed)
-    names = sorted(set(FAULTS) - ALONE)
-    chosen = rng.sample(names, rng.randrange(2, 5))
+    candidates = sorted(set(FAULTS) - EXCLUSIVE_FAULTS)
+    chosen = rng.sample(candidates, rng.randrange(2, 5))
     if rng.random() < 0.1:
-        chosen = [rng.choice(sorted(ALONE))]
+        chosen = [rng.choice(sorted(EXCLUSIVE_FAULTS))]
     return seed, chosen, run_session(seed, chosen, rng.random() < 0.5)
 
 
 def main(runs: int, first: int) -> int:
-    """Print each run that breaks a promise; return the exit code."""
-    broken = 0
+    """Print each session that violates an invariant; return the exit code."""
+    violating = 0
     with ProcessPoolExecutor() as pool:
-        for seed, names, faults in pool.map(
-            run_one, range(first, first + runs), chunksize=8
+        for seed, faults, violations in pool.map(
+            run_seeded_session, range(first, first + runs), chunksize=8
         ):
-            if faults:
-                broken += 1
-                print(f"seed {seed}: {'+'.join(names)}: {faults[:3]}", flush=True)
-    print(f"{runs} runs, {broken} broke a promise")
-    return 1 if broken else 0
+            if violations:
+                violating += 1
+                print(f"seed {seed}: {'+'.join(faults)}: {violations[:3]}", flush=True)
+    print(f"{runs} sessions, {violating} violated an invariant")
+    return 1 if violating else 0
 
 
 if __name__ == "__main__":
-    numbers = [int(word) for word in sys.argv[1:]]
-    sys.exit(main(*(numbers + [RUNS, 1][len(numbers) :])))
+    arguments = [int(word) for word in sys.argv[1:]]
+    sys.exit(main(*(arguments + [DEFAULT_RUNS, 1][len(arguments) :])))
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,25 +1,27 @@
-from bench.capacity import BEGIN, END, PAGE, tables
-from bench.slopes import message_sizes
+"""The capacity page and the sizes of control messages."""
 
+from bench.capacity import BEGIN_MARK, END_MARK, PAGE, render_tables
+from bench.slopes import measure_message_sizes
 
-def test_the_page_follows_from_the_recorded_measurements():
+
+def test_page_holds_the_tables_of_the_recorded_measurements():
     text = PAGE.read_text()
-    found = text.split(BEGIN)[1].split(END)[0].strip()
-    assert found == tables().strip()
+    found = text.split(BEGIN_MARK)[1].split(END_MARK)[0].strip()
+    assert found == render_tables().strip()
 
 
-# Bounds from the stated targets: 5 KB a second for control, 1 KB a second
-# between two data centres, for 7 daemons in each
+# The bounds for data centres of 7 daemons: 5,000 control bytes a second from each
+# daemon, 1,000 bytes a second between two data centres
 
 
-def test_messages_keep_to_the_stated_byte_rates():
-    size = message_sizes()
-    each = size["heartbeat that names the admitted"]
-    beats = 2 * 6 * (each + size["heartbeat, a shard more"])
-    assert beats + 6 * 2 * size["tail"] <= 5000
+def test_control_messages_stay_within_their_byte_rates():
+    size = measure_message_sizes()
+    heartbeat = size["heartbeat that names the admitted"]
+    heartbeats = 2 * 6 * (heartbeat + size["heartbeat, a shard more"])
+    assert heartbeats + 6 * 2 * size["tail"] <= 5000
     assert (size["digest"] + 6 * size["digest, a shard more"]) / 10 <= 1000
 
 
-def test_a_change_crosses_regions_as_a_difference():
-    size = message_sizes()
+def test_cell_change_is_recorded_as_a_delta():
+    size = measure_message_sizes()
     assert size["change record"] * 100 < size["whole cell file"]
