--- a/packaging/build.py
+++ b/packaging/build.py
@@ -1,4 +1,4 @@
-"""Build the one-file program and measure it: ``python packaging/build.py``."""
+"""Build of the one-file program and its figures: ``python packaging/build.py``."""
 
 import json
 import os
@@ -14,6 +14,7 @@
 
 ROOT = Path(__file__).parent.parent
 OUT = ROOT / "dist" / "siskinroad"
+# Distributions that go into the archive
 LIBRARIES = (
     "docopt-ng",
     "h11",
@@ -22,15 +23,18 @@
     "python-json-logger",
     "pyzmq",
 )
-SKIPPED = re.compile(r"(^|/)(tests|__pycache__|utils/.*\.h)(/|$)|\.(pyi|h|pxd|pyx|c)$")
+# Files of these distributions that are not needed at run time
+EXCLUDED_FILES = re.compile(
+    r"(^|/)(tests|__pycache__|utils/.*\.h)(/|$)|\.(pyi|h|pxd|pyx|c)$"
+)
 
 
-def members():
-    """Yield the name in the archive and the path of each file."""
+def list_archive_files():
+    """Yield each file of the archive: its name there and its path on disk."""
     for name in LIBRARIES:
         for file in metadata.distribution(name).files or []:
             text = str(file)
-            if ".." in text or ".dist-info" in text or SKIPPED.search(text):
+            if ".." in text or ".dist-info" in text or EXCLUDED_FILES.search(text):
                 continue
             yield text, Path(str(file.locate()))
     for path in sorted((ROOT / "siskinroad").rglob("*")):
@@ -40,13 +44,13 @@
         yield f"siskinroad/examples/{path.name}", path
 
 
-def build():
-    """Write the program; return its size in bytes."""
+def build_program():
+    """Write the program as an executable archive; return its size in bytes."""
     OUT.parent.mkdir(exist_ok=True)
-    files = dict(members())
-    natives = [name for name in files if ".so" in name]
-    shared = sorted(
-        (name for name in natives if ".libs/" in name),
+    files = dict(list_archive_files())
+    native_modules = [name for name in files if ".so" in name]
+    shared_libraries = sorted(
+        (name for name in native_modules if ".libs/" in name),
         key=lambda name: "sodium" not in name,
     )
     with open(OUT, "wb") as file:
@@ -54,51 +58,55 @@
         with zipfile.ZipFile(file, "w", zipfile.ZIP_DEFLATED) as archive:
             for name, path in sorted(files.items()):
                 archive.writestr(zipfile.ZipInfo(name), path.read_bytes())
-            archive.writestr("natives.txt", "\n".join(natives))
-            archive.writestr("preload.txt", "\n".join(shared))
+            archive.writestr("natives.txt", "\n".join(native_modules))
+            archive.writestr("preload.txt", "\n".join(shared_libraries))
             archive.write(ROOT / "packaging" / "loader.py", "__main__.py")
     OUT.chmod(0o755)
     return OUT.stat().st_size
 
 
-def measure():
-    """Start the program as a daemon where nothing can be written; return figures."""
+def measure_program():
+    """Run the program as a daemon in a read-only folder; return its figures.
+
+    It gets no writable temporary folder, and nothing listens at its platform address.
+    """
     sys.path.insert(0, str(ROOT))
     from siskinroad.cluster import free_addresses
 
     with tempfile.TemporaryDirectory() as folder:
-        callers, operators, peers, nobody = free_addresses(4)
+        callers, operators, peers, unused_address = free_addresses(4)
         settings = Path(folder) / "entry.toml"
         settings.write_text(
             f'name = "a"\ndata_centre = "d"\nregion = "r"\ncallers = "{callers}"\n'
             f'operators = "{operators}"\npeer_address = "{peers}"\n'
-            f'platform = "{nobody}"\n'
+            f'platform = "{unused_address}"\n'
         )
         os.chmod(folder, 0o500)
-        began = time.perf_counter()
-        proc = subprocess.Popen(
+        start_time = time.perf_counter()
+        process = subprocess.Popen(
             [sys.executable, "-I", "-B", str(OUT), "entry", str(settings)],
             cwd=folder,
             env={"PATH": "", "TMPDIR": "/nonexistent"},
             stdout=subprocess.DEVNULL,
             stderr=subprocess.DEVNULL,
         )
-        _until_open(operators)
-        ready = time.perf_counter() - began
+        _wait_until_open(operators)
+        ready_s = time.perf_counter() - start_time
         time.sleep(2.0)
-        found = {
-            "start seconds": round(ready, 2),
-            "resident MB": round(_resident(proc.pid), 1),
-            "child processes": len(_children(proc.pid)),
-            "files open for writing": _written(proc.pid),
+        figures = {
+            "start seconds": round(ready_s, 2),
+            "resident MB": round(_read_resident_mb(process.pid), 1),
+            "child processes": len(_list_child_processes(process.pid)),
+            "files open for writing": _list_written_files(process.pid),
         }
-        proc.send_signal(signal.SIGTERM)
-        found["exit code"] = proc.wait(timeout=30)
+        process.send_signal(signal.SIGTERM)
+        figures["exit code"] = process.wait(timeout=30)
         os.chmod(folder, 0o700)
-    return found
+    return figures
 
 
-def _until_open(address):
+def _wait_until_open(address):
+    """Wait until an address accepts connections; exit with an error if it does not."""
     import socket
 
     ip, _, port = address.partition(":")
@@ -107,19 +115,20 @@
             if sock.connect_ex((ip, int(port))) == 0:
                 return
         time.sleep(0.05)
-    raise SystemExit("the program did not start")
+    raise SystemExit("the program did not listen on its operator address in 200 tries")
 
 
-def _resident(pid):
+def _read_resident_mb(pid):
     text = Path(f"/proc/{pid}/status").read_text()
     return int(re.search(r"VmRSS:\s+(\d+)", text).group(1)) / 1024
 
 
-def _children(pid):
+def _list_child_processes(pid):
     return Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
 
 
-def _written(pid):
+def _list_written_files(pid):
+    """Return the open files of a process, apart from memory and device files."""
     links = [os.readlink(link) for link in Path(f"/proc/{pid}/fd").iterdir()]
     return [
         x for x in links if x.startswith("/") and not x.startswith(("/memfd", "/dev"))
@@ -127,5 +136,5 @@
 
 
 if __name__ == "__main__":
-    size = build()
-    print(json.dumps({"file MB": round(size / 1e6, 2), **measure()}, indent=1))
+    size = build_program()
+    print(json.dumps({"file MB": round(size / 1e6, 2), **measure_program()}, indent=1))
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -1,4 +1,4 @@
-"""The design page names functions that exist."""
+"""Names of modules, classes and functions on the design page."""
 
 import importlib
 import re
@@ -8,23 +8,24 @@
 NAME = re.compile(r"`((?:siskinroad|platform)(?:\.\w+)+)`")
 
 
-def resolve(name):
-    """Return what a dotted name stands for: a module, then its attributes."""
-    # The folder is not on the path under its own name, which is a standard module's.
+def resolve_name(name):
+    """Return the object of a dotted name: a module, or an attribute below one."""
+    # ``platform`` is a module of the standard library, so the folder ``platform/`` is
+    # imported under another name.
     parts = re.sub(r"^platform\.", "siskinroad_platform.", name).split(".")
-    for cut in range(len(parts), 0, -1):
+    for length in range(len(parts), 0, -1):
         try:
-            found = importlib.import_module(".".join(parts[:cut]))
+            resolved = importlib.import_module(".".join(parts[:length]))
         except ModuleNotFoundError:
             continue
-        for part in parts[cut:]:
-            found = getattr(found, part)
-        return found
+        for part in parts[length:]:
+            resolved = getattr(resolved, part)
+        return resolved
     raise ModuleNotFoundError(name)
 
 
-def test_every_function_that_the_page_follows_exists():
+def test_design_page_names_only_code_that_exists():
     names = NAME.findall(PAGE.read_text())
     assert len(names) > 20
     for name in names:
-        assert resolve(name) is not None
+        assert resolve_name(name) is not None
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -1,4 +1,4 @@
-"""The ways of imports: no circles, and nothing of the platform's in the product."""
+"""Imports between modules: no cycles, and no platform adapter in the product."""
 
 import ast
 from pathlib import Path
@@ -7,7 +7,7 @@
 PACKAGES = ("siskinroad", "bench")
 
 
-def modules():
+def find_modules():
     """Return the file of each module of the packages by its dotted name."""
     found = {}
     for package in PACKAGES:
@@ -17,8 +17,8 @@
     return found
 
 
-def imported(path):
-    """Return every dotted name that a file imports, also inside functions."""
+def find_imported_names(path):
+    """Return every dotted name that a file imports, at its top or in a function."""
     names = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
@@ -29,41 +29,44 @@
     return names
 
 
-def arrows():
-    known = modules()
+def build_import_graph():
+    """Return the modules of the packages that each module imports."""
+    known = find_modules()
     return {
-        name: sorted((imported(path) & known.keys()) - {name, *PACKAGES})
+        name: sorted((find_imported_names(path) & known.keys()) - {name, *PACKAGES})
         for name, path in known.items()
     }
 
 
-def circle_from(start, ways):
-    """Return a way from a module back to itself, or None."""
-    waiting, seen = [[start]], set()
-    while waiting:
-        way = waiting.pop()
-        for after in ways.get(way[-1], ()):
-            if after == start:
-                return [*way, after]
-            if after not in seen:
-                seen.add(after)
-                waiting.append([*way, after])
+def find_cycle(start, graph):
+    """Return a chain of imports from a module back to itself, or None."""
+    pending, seen = [[start]], set()
+    while pending:
+        route = pending.pop()
+        for successor in graph.get(route[-1], ()):
+            if successor == start:
+                return [*route, successor]
+            if successor not in seen:
+                seen.add(successor)
+                pending.append([*route, successor])
     return None
 
 
-def test_no_module_imports_itself_by_way_of_others():
-    ways = arrows()
-    assert len(ways) > 100
-    assert not [found for name in ways if (found := circle_from(name, ways))]
+def test_no_imports_form_a_cycle():
+    graph = build_import_graph()
+    assert len(graph) > 100
+    assert not [found for name in graph if (found := find_cycle(name, graph))]
 
 
-def test_a_circle_would_be_found():
-    ways = {"a": ["b"], "b": ["c"], "c": ["a"], "d": ["a"]}
-    assert circle_from("a", ways) == ["a", "b", "c", "a"]
-    assert circle_from("d", ways) is None
+def test_find_cycle_reports_only_cycles_through_the_start():
+    graph = {"a": ["b"], "b": ["c"], "c": ["a"], "d": ["a"]}
+    assert find_cycle("a", graph) == ["a", "b", "c", "a"]
+    assert find_cycle("d", graph) is None
 
 
-def test_the_product_imports_nothing_of_the_platform_s():
-    for name, path in modules().items():
+def test_the_product_does_not_import_the_platform_adapter():
+    for name, path in find_modules().items():
         if name.startswith("siskinroad"):
-            assert not {n for n in imported(path) if "siskinroad_platform" in n}, name
+            assert not {
+                n for n in find_imported_names(path) if "siskinroad_platform" in n
+            }, name
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""True daemons as processes on loopback: kill, stop and resume, a planned stop."""
+"""Real daemon processes on loopback: kill, suspend and resume, planned stop."""
 
 import asyncio
 import json
@@ -23,8 +23,8 @@
 NAMES = ("a", "b")
 
 
-class Site:
-    """Two daemons as processes; the platform and workers in this one."""
+class DaemonPair:
+    """Two daemons in processes of their own; platform and hosts run in this one."""
 
     def __init__(self, folder):
         self.folder = folder
@@ -33,9 +33,9 @@
         self.procs = {}
         self.pool = HttpPool()
 
-    async def open(self):
+    async def start_all(self):
         self.platform = PlatformServer(MemoryLog())
-        at = await self.platform.http.listen("127.0.0.1:0")
+        platform_address = await self.platform.http.listen("127.0.0.1:0")
         for host in parse_cell(self.text).hosts():
             capacity = parse_cell(self.text).pools["booking"].capacity
             worker = MemoryWorker(
@@ -50,21 +50,21 @@
             name: ports[3 * i : 3 * i + 3] for i, name in enumerate(NAMES)
         }
         for name in NAMES:
-            self._write(name, at)
-            self.start(name)
+            self._write_settings(name, platform_address)
+            self.start_daemon(name)
 
-    def _write(self, name, platform):
+    def _write_settings(self, name, platform_address):
         callers, operators, peers = self.addresses[name]
         other = next(x for x in NAMES if x != name)
         (self.folder / f"{name}.toml").write_text(
             f'name = "{name}"\ndata_centre = "east-1"\nregion = "east"\n'
             f'callers = "{callers}"\noperators = "{operators}"\n'
-            f'peer_address = "{peers}"\nplatform = "{platform}"\n'
+            f'peer_address = "{peers}"\nplatform = "{platform_address}"\n'
             f'[[peers]]\nname = "{other}"\naddress = "{self.addresses[other][2]}"\n'
             'data_centre = "east-1"\nregion = "east"\n'
         )
 
-    def start(self, name):
+    def start_daemon(self, name):
         command = [sys.executable, "-m", "siskinroad", "entry", f"{name}.toml"]
         root = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
         env = {**os.environ, "PYTHONPATH": root}
@@ -72,10 +72,11 @@
             command, cwd=self.folder, env=env, stderr=subprocess.DEVNULL
         )
 
-    async def ask(self, name, method, target, body=b"", which=0, **headers):
+    async def send_request(self, name, method, target, body=b"", listener=0, **headers):
+        """Send a request to a daemon's callers (listener 0) or operators (1)."""
         fields = tuple((k.replace("_", "-"), v) for k, v in headers.items())
         return await self.pool.request(
-            self.addresses[name][which],
+            self.addresses[name][listener],
             method,
             target,
             body=body,
@@ -83,171 +84,193 @@
             limit=8.0,
         )
 
-    async def until(self, check, tries=100):
-        """Wait for a state, however slow the machine is; fail if it never comes."""
+    async def wait_until(self, condition, tries=100):
+        """Wait until a condition holds; fail after so many tries, 0.1 s apart."""
         for _ in range(tries):
             try:
-                if await check():
+                if await condition():
                     return
             except SiskinroadError:
                 pass
             await asyncio.sleep(0.1)
-        raise AssertionError("the state never came")
+        raise AssertionError("the condition did not hold within the number of tries")
 
-    async def serves(self, name):
-        answer = await self.ask(name, "POST", "/v1/services/quote", b"hello")
+    async def is_serving(self, name):
+        answer = await self.send_request(name, "POST", "/v1/services/quote", b"hello")
         return answer.status == 200 and answer.body == b"hello"
 
     def close(self):
-        for proc in self.procs.values():
-            proc.kill()
-            proc.wait()
+        for process in self.procs.values():
+            process.kill()
+            process.wait()
 
 
-def session(folder, scenario):
+def run_session(folder, scenario):
+    """Run a scenario once both daemons serve and admit each other."""
+
     async def main():
-        site = Site(folder)
-        await site.open()
+        pair = DaemonPair(folder)
+        await pair.start_all()
         try:
-            await site.until(lambda: ready(site, "a"))
-            answer = await site.ask("a", "PUT", "/v1/cell", site.text.encode(), 1)
+            await pair.wait_until(lambda: is_ready(pair, "a"))
+            answer = await pair.send_request(
+                "a", "PUT", "/v1/cell", pair.text.encode(), 1
+            )
             assert answer.status == 200
-            await site.until(lambda: site.serves("a"))
-            await site.until(lambda: site.serves("b"))
+            await pair.wait_until(lambda: pair.is_serving("a"))
+            await pair.wait_until(lambda: pair.is_serving("b"))
             for name, other in (NAMES, NAMES[::-1]):
-                await site.until(lambda n=name, o=other: admits(site, n, o))
-            await scenario(site)
+                await pair.wait_until(
+                    lambda n=name, o=other: is_admitted_by(pair, n, o)
+                )
+            await scenario(pair)
         finally:
-            site.close()
+            pair.close()
 
     asyncio.run(main())
 
 
-async def ready(site, name):
-    return (await site.ask(name, "GET", "/healthz", which=1)).status == 200
+async def is_ready(pair, name):
+    return (await pair.send_request(name, "GET", "/healthz", listener=1)).status == 200
 
 
-async def admits(site, name, other):
-    answer = await site.ask(name, "GET", "/v1/status", which=1)
+async def is_admitted_by(pair, name, other):
+    answer = await pair.send_request(name, "GET", "/v1/status", listener=1)
     return f'"admitted_by":["{other}"]'.encode() in answer.body
 
 
-async def hears(site, name, other):
-    answer = await site.ask(name, "GET", "/v1/status", which=1)
+async def has_member(pair, name, other):
+    answer = await pair.send_request(name, "GET", "/v1/status", listener=1)
     return f'"members":["{other}"]'.encode() in answer.body
 
 
-async def owner(site):
-    answer = await site.ask("a", "GET", "/v1/status", which=1)
+async def find_owner(pair):
+    answer = await pair.send_request("a", "GET", "/v1/status", listener=1)
     return "a" if b'"state":"owning"' in answer.body else "b"
 
 
-def starts(site, body):
+def count_starts(pair, body):
     return sum(
         event.body == body and event.kind == "start"
-        for worker in site.workers.values()
+        for worker in pair.workers.values()
         for event in worker.events
     )
 
 
-def test_a_killed_owner_is_replaced_and_its_planned_stop_is_clean(tmp_path):
-    async def scenario(site):
-        first = await owner(site)
-        other = next(x for x in NAMES if x != first)
-        site.procs[first].kill()
-        await site.until(lambda: site.serves(other))
-        site.procs[other].send_signal(signal.SIGTERM)
-        await site.until(lambda: _ended(site.procs[other]))
-        assert site.procs[other].returncode == 0
+def test_successor_of_a_killed_owner_serves_and_stops_cleanly(tmp_path):
+    """The daemon left serves alone, and SIGTERM ends it with exit code 0."""
+
+    async def scenario(pair):
+        owner = await find_owner(pair)
+        other = next(x for x in NAMES if x != owner)
+        pair.procs[owner].kill()
+        await pair.wait_until(lambda: pair.is_serving(other))
+        pair.procs[other].send_signal(signal.SIGTERM)
+        await pair.wait_until(lambda: has_exited(pair.procs[other]))
+        assert pair.procs[other].returncode == 0
 
-    session(tmp_path, scenario)
+    run_session(tmp_path, scenario)
 
 
-async def _ended(proc):
-    return proc.poll() is not None
+async def has_exited(process):
+    return process.poll() is not None
 
 
-def test_a_stopped_owner_that_wakes_runs_nothing_twice(tmp_path):
-    async def scenario(site):
-        first = await owner(site)
-        other = next(x for x in NAMES if x != first)
-        site.procs[first].send_signal(signal.SIGSTOP)
-        await site.until(lambda: site.serves(other))
+def test_owner_resumed_after_a_takeover_starts_no_task_twice(tmp_path):
+    """An owner that was suspended during a takeover must not act as owner again."""
+
+    async def scenario(pair):
+        owner = await find_owner(pair)
+        other = next(x for x in NAMES if x != owner)
+        pair.procs[owner].send_signal(signal.SIGSTOP)
+        await pair.wait_until(lambda: pair.is_serving(other))
         bodies = [f"hearse-{i}".encode() for i in range(10)]
         for body in bodies:
-            await site.ask(
+            await pair.send_request(
                 other,
                 "POST",
                 "/v1/services/dispatch",
                 body,
                 idempotency_key=body.decode(),
             )
-        site.procs[first].send_signal(signal.SIGCONT)
-        await site.until(lambda: site.serves(first))
-        await site.until(lambda: hears(site, first, other))
-        await site.until(lambda: hears(site, other, first))
+        pair.procs[owner].send_signal(signal.SIGCONT)
+        await pair.wait_until(lambda: pair.is_serving(owner))
+        await pair.wait_until(lambda: has_member(pair, owner, other))
+        await pair.wait_until(lambda: has_member(pair, other, owner))
         for body in bodies:
-            answer = await site.ask(
-                first,
+            answer = await pair.send_request(
+                owner,
                 "POST",
                 "/v1/services/dispatch",
                 body,
                 idempotency_key=body.decode(),
             )
             assert answer.status in (200, 409)
-            assert starts(site, body) <= 1
+            assert count_starts(pair, body) <= 1
 
-    session(tmp_path, scenario)
+    run_session(tmp_path, scenario)
 
 
-async def cli(site, *words):
-    """Run one command; return its exit code, what it printed and its errors."""
+async def run_command(pair, *arguments):
+    """Run one command; return its exit code, standard output and standard error."""
     root = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
-    proc = await asyncio.create_subprocess_exec(
+    process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "siskinroad",
-        *words,
-        cwd=site.folder,
+        *arguments,
+        cwd=pair.folder,
         env={**os.environ, "PYTHONPATH": root},
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
     )
-    out, err = await proc.communicate()
-    return proc.returncode, out.decode(), err.decode()
-
-
-def test_the_commands_against_true_daemons(tmp_path):
-    async def scenario(site):
-        first = await owner(site)
-        callers, operators, _ = site.addresses[first]
-        at, to = f"--at={operators}", f"--to={callers}"
-        cell = site.folder / "cell.toml"
-        cell.write_text(site.text.replace("weight = 3", "weight = 4"))
-        assert await cli(site, "diff", "cell.toml", at) == (0, "~ owners.desk\n", "")
-        code, _, err = await cli(site, "apply", "cell.toml", at, "--expect=9")
+    out, err = await process.communicate()
+    return process.returncode, out.decode(), err.decode()
+
+
+def test_commands_against_real_daemons(tmp_path):
+    async def scenario(pair):
+        owner = await find_owner(pair)
+        callers, operators, _ = pair.addresses[owner]
+        at_flag, to_flag = f"--at={operators}", f"--to={callers}"
+        cell = pair.folder / "cell.toml"
+        cell.write_text(pair.text.replace("weight = 3", "weight = 4"))
+        assert await run_command(pair, "diff", "cell.toml", at_flag) == (
+            0,
+            "~ owners.desk\n",
+            "",
+        )
+        code, _, err = await run_command(
+            pair, "apply", "cell.toml", at_flag, "--expect=9"
+        )
         assert (code, "revision 1 is in force" in err) == (3, True)
-        code, out, _ = await cli(site, "apply", "cell.toml", at, "--expect=1")
+        code, out, _ = await run_command(
+            pair, "apply", "cell.toml", at_flag, "--expect=1"
+        )
         assert (code, out) == (0, "revision 2 is in force at a, b\n")
-        code, out, _ = await cli(site, "apply", "cell.toml", at, "--json")
+        code, out, _ = await run_command(pair, "apply", "cell.toml", at_flag, "--json")
         assert json.loads(out)["changed"] is False
-        code, out, _ = await cli(site, "submit", "recount", to, "--count=3", "--key=k")
+        code, out, _ = await run_command(
+            pair, "submit", "recount", to_flag, "--count=3", "--key=k"
+        )
         job = json.loads(out)["job"]
-        code, out, _ = await cli(site, "watch", job, to, "--wait=20")
+        code, out, _ = await run_command(pair, "watch", job, to_flag, "--wait=20")
         assert (code, json.loads(out)["done"]) == (0, 3)
-        code, out, _ = await cli(site, "explain", f"{job}/0", at)
+        code, out, _ = await run_command(pair, "explain", f"{job}/0", at_flag)
         assert out.strip() == f"{job}/0 has ended: done."
-        code, out, _ = await cli(site, "cancel", job, to)
+        code, out, _ = await run_command(pair, "cancel", job, to_flag)
         assert (code, json.loads(out)["settled"]) == (0, True)
-        code, out, _ = await cli(site, "status", at)
-        assert f"{first} in east-1: ready, revision 2, log up" in out
-        code, out, _ = await cli(site, "report", at, "--picture=r.svg")
+        code, out, _ = await run_command(pair, "status", at_flag)
+        assert f"{owner} in east-1: ready, revision 2, log up" in out
+        code, out, _ = await run_command(pair, "report", at_flag, "--picture=r.svg")
         assert (code, "capacity" in out) == (0, True)
-        assert (site.folder / "r.svg").read_text().startswith("<svg")
-        assert (await cli(site, "queue", at, "--json"))[:2] == (0, "[]\n")
-        code, _, err = await cli(site, "submit", "nothing", to)
+        assert (pair.folder / "r.svg").read_text().startswith("<svg")
+        assert (await run_command(pair, "queue", at_flag, "--json"))[:2] == (0, "[]\n")
+        code, _, err = await run_command(pair, "submit", "nothing", to_flag)
         assert (code, "not run: the cell has no workload" in err) == (1, True)
-        code, out, _ = await cli(site, "load", "quote", to, "--rate=20", "--seconds=1")
+        code, out, _ = await run_command(
+            pair, "load", "quote", to_flag, "--rate=20", "--seconds=1"
+        )
         assert (code, "median_ms" in out) == (0, True)
 
-    session(tmp_path, scenario)
+    run_session(tmp_path, scenario)
