--- a/siskinroad/estimates.py
+++ b/siskinroad/estimates.py
@@ -1,4 +1,7 @@
-"""Sizes and run times learned for each workload from lagging reports."""
+"""Estimates of the size and run time of tasks, learned for each workload.
+
+They are learned from usage reports, which lag behind the actual usage.
+"""
 
 from __future__ import annotations
 
@@ -10,22 +13,31 @@
 
 __all__ = ["Estimates", "Histogram"]
 
-STEPS_PER_DOUBLING = 4
+# Histogram buckets for each factor of two. With fewer, quantiles come out too high.
+BUCKETS_PER_DOUBLING = 4
+# Weight that a sample keeps when the next one arrives. A larger value follows
+# changes of a workload more slowly.
 DECAY = 0.995
+# Recent samples from which on estimates replace the declared values.
 MIN_SAMPLES = 5.0
+# Multiple of its declared size that a task gets while its workload is not known. A
+# smaller value overcommits hosts where the declared sizes are too low.
 UNKNOWN_FACTOR = 4.0
+# Quantile of the peak usage that a task gets, and the factor by which it is raised.
 PEAK_QUANTILE = 0.95
 PEAK_MARGIN = 1.1
+# Largest factor between the declared and the estimated size, in both directions.
 MAX_RATIO = 16.0
+# Quantile of the run times that is taken as the expected run time.
 RUN_TIME_QUANTILE = 0.5
 
 
 @dataclass(slots=True)
 class Histogram:
-    """A decaying histogram with buckets of equal ratio.
+    """Histogram with decaying counts and logarithmic buckets.
 
-    The quantile is at most one bucket (a factor of 2 to the power of a
-    quarter) above the true one.
+    A quantile is at most one bucket, a factor of 2 to the power of 1/4, above the
+    true one.
     """
 
     counts: dict[int, float] = field(default_factory=dict)
@@ -33,8 +45,8 @@
     scale: float = 1.0
 
     def add(self, value: float) -> None:
-        """Add one positive sample; older ones lose a little weight."""
-        index = math.ceil(STEPS_PER_DOUBLING * math.log2(max(value, 1e-9)))
+        """Add one positive sample and decay the weight of the older ones."""
+        index = math.ceil(BUCKETS_PER_DOUBLING * math.log2(max(value, 1e-9)))
         self.scale /= DECAY
         self.counts[index] = self.counts.get(index, 0.0) + self.scale
         self.total += self.scale
@@ -42,17 +54,17 @@
             self._rescale()
 
     def quantile(self, q: float) -> float:
-        """Return the upper edge of the bucket that holds quantile ``q``."""
+        """Return the upper edge of the bucket that contains quantile ``q``."""
         left = q * self.total
         for index in sorted(self.counts):
             left -= self.counts[index]
             if left <= 1e-9 * self.total:
-                return 2.0 ** (index / STEPS_PER_DOUBLING)
+                return 2.0 ** (index / BUCKETS_PER_DOUBLING)
         return 0.0
 
     @property
     def weight(self) -> float:
-        """The number of recent samples."""
+        """Decayed number of samples."""
         return self.total / self.scale if self.scale else 0.0
 
     def _rescale(self) -> None:
@@ -64,75 +76,77 @@
 
 
 @dataclass(slots=True)
-class _Learned:
+class _WorkloadStatistics:
     cpu: Histogram = field(default_factory=Histogram)
     memory: Histogram = field(default_factory=Histogram)
     run_time: Histogram = field(default_factory=Histogram)
     declared: Resources | None = None
     reserve: Resources | None = None
-    seconds: float | None = None
+    run_time_s: float | None = None
 
 
 class Estimates:
-    """What each workload's tasks are likely to take.
+    """Estimated size and run time of the tasks of each workload.
 
-    Accelerators and slots are granted whole and never estimated.
+    Accelerators and slots are allocated as declared and not estimated.
     """
 
     def __init__(self) -> None:
-        self._learned: dict[str, _Learned] = {}
+        self._stats: dict[str, _WorkloadStatistics] = {}
 
     def observe(
         self, workload: Workload, run_time: float, cpu_milli: int, memory_mib: int
     ) -> None:
-        """Learn from one ended task: its run time in seconds and its peaks."""
-        learned = self._learned.setdefault(workload.name, _Learned())
-        learned.run_time.add(run_time)
-        learned.cpu.add(max(cpu_milli, 1))
-        learned.memory.add(max(memory_mib, 1))
-        learned.reserve = None
-        learned.seconds = None
+        """Add the run time in seconds and the peak usage of one ended task."""
+        stats = self._stats.setdefault(workload.name, _WorkloadStatistics())
+        stats.run_time.add(run_time)
+        stats.cpu.add(max(cpu_milli, 1))
+        stats.memory.add(max(memory_mib, 1))
+        stats.reserve = None
+        stats.run_time_s = None
 
     def known(self, workload: Workload) -> bool:
-        """Return whether enough tasks have ended to trust their sizes."""
-        learned = self._learned.get(workload.name)
-        return learned is not None and learned.memory.weight >= MIN_SAMPLES
+        """Return whether enough tasks have ended to estimate their size."""
+        stats = self._stats.get(workload.name)
+        return stats is not None and stats.memory.weight >= MIN_SAMPLES
 
     def reserve(self, workload: Workload, capacity: Resources) -> Resources:
-        """Return what to set aside for one task on a host of ``capacity``.
+        """Return the resources to allocate to one task on a host of ``capacity``.
 
-        Requests hold no memory of their own beyond what they declare. A task of
-        a workload not yet known gets several times what it declares.
+        Requests get what their workload declares. A task of a workload without
+        enough samples gets ``UNKNOWN_FACTOR`` times what it declares.
         """
         if workload.kind == "service":
             return workload.demand
-        learned = self._learned.get(workload.name)
-        if learned is None:
-            learned = self._learned[workload.name] = _Learned()
-        if learned.reserve is None or learned.declared is not workload.demand:
-            learned.declared = workload.demand
-            learned.reserve = _reserve(workload.demand, learned, capacity)
-        return learned.reserve
+        stats = self._stats.get(workload.name)
+        if stats is None:
+            stats = self._stats[workload.name] = _WorkloadStatistics()
+        if stats.reserve is None or stats.declared is not workload.demand:
+            stats.declared = workload.demand
+            stats.reserve = _compute_reserve(workload.demand, stats, capacity)
+        return stats.reserve
 
     def run_time(self, workload: Workload) -> float:
-        """Return the seconds that nine of ten tasks take at most."""
+        """Return the expected run time in seconds: the median, once it is known."""
         if workload.long_running:
             return math.inf
-        learned = self._learned.get(workload.name)
-        if learned is None or learned.run_time.weight < MIN_SAMPLES:
+        stats = self._stats.get(workload.name)
+        if stats is None or stats.run_time.weight < MIN_SAMPLES:
             return workload.run_time
-        if learned.seconds is None:
-            learned.seconds = learned.run_time.quantile(RUN_TIME_QUANTILE)
-        return learned.seconds
+        if stats.run_time_s is None:
+            stats.run_time_s = stats.run_time.quantile(RUN_TIME_QUANTILE)
+        return stats.run_time_s
 
 
-def _reserve(demand: Resources, learned: _Learned, capacity: Resources) -> Resources:
-    if learned.memory.weight < MIN_SAMPLES:
-        return _scaled(demand, UNKNOWN_FACTOR, capacity)
-    return _peak(demand, learned, capacity)
+def _compute_reserve(
+    demand: Resources, stats: _WorkloadStatistics, capacity: Resources
+) -> Resources:
+    if stats.memory.weight < MIN_SAMPLES:
+        return _scale_demand(demand, UNKNOWN_FACTOR, capacity)
+    return _estimate_peak(demand, stats, capacity)
 
 
-def _scaled(demand: Resources, factor: float, capacity: Resources) -> Resources:
+def _scale_demand(demand: Resources, factor: float, capacity: Resources) -> Resources:
     return Resources(
         min(
             round(demand.cpu_milli * factor), max(capacity.cpu_milli, demand.cpu_milli)
@@ -146,18 +160,20 @@
     )
 
 
-def _peak(demand: Resources, learned: _Learned, capacity: Resources) -> Resources:
-    cpu = learned.cpu.quantile(PEAK_QUANTILE) * PEAK_MARGIN
-    memory = learned.memory.quantile(PEAK_QUANTILE) * PEAK_MARGIN
+def _estimate_peak(
+    demand: Resources, stats: _WorkloadStatistics, capacity: Resources
+) -> Resources:
+    cpu = stats.cpu.quantile(PEAK_QUANTILE) * PEAK_MARGIN
+    memory = stats.memory.quantile(PEAK_QUANTILE) * PEAK_MARGIN
     return Resources(
-        min(_bounded(cpu, demand.cpu_milli), capacity.cpu_milli),
-        min(_bounded(memory, demand.memory_mib), capacity.memory_mib),
+        min(_clamp(cpu, demand.cpu_milli), capacity.cpu_milli),
+        min(_clamp(memory, demand.memory_mib), capacity.memory_mib),
         demand.accelerators,
         demand.slots,
     )
 
 
-def _bounded(value: float, declared: int) -> int:
+def _clamp(value: float, declared: int) -> int:
     low = declared / MAX_RATIO
     high = declared * MAX_RATIO
     return max(1, math.ceil(min(max(value, low), high)))
--- a/siskinroad/placement.py
+++ b/siskinroad/placement.py
@@ -1,4 +1,4 @@
-"""Which host takes a task: hosts indexed by what they have left."""
+"""Placement: hosts of a pool, indexed by their free capacity."""
 
 from __future__ import annotations
 
@@ -9,28 +9,39 @@
 
 __all__ = ["MAX_PROBES", "HostIndex", "HostView"]
 
-LEVELS = 16
+# Levels into which the free processors and the free memory of hosts are divided.
+RESOURCE_LEVELS = 16
+# Most hosts that one search looks at; it bounds the time of a search.
 MAX_PROBES = 64
-CHOICES = 6
+# Fitting hosts after which a search stops; the best of them is taken.
+MAX_FITTING_HOSTS = 6
+# Most levels into which the free slots of hosts are divided; it bounds the memory of
+# an index of hosts with many slots.
 MAX_SLOT_LEVELS = 64
 
 
 @dataclass(slots=True, eq=False)
 class HostView:
-    """One host as its owner sees it.
+    """Owner's view of one host.
 
     Attributes
     ----------
     capacity : Resources
-        All that the host has.
+        Total resources of the host.
     cpu, memory, accelerators, slots : int
-        What is not yet given away; never negative.
+        Unallocated resources; never negative.
     open : bool
-        Whether new work may be placed.
+        Whether new work may be placed on the host.
     limit : int
-        Concurrent tasks allowed just now, at most the host's slots.
+        Concurrent tasks that are allowed now, at most the host's slots.
     tasks : dict of str to Resources
-        What each task on the host holds.
+        Resources allocated to each task on the host.
+    members : dict of str to int
+        Number of tasks on the host, by workload.
+    levels : list of int
+        Level in each row of the index; empty if the host is not indexed.
+    counted : bool
+        Whether the sums of the index include the host.
     """
 
     name: str
@@ -56,7 +67,7 @@
         self.limit = self.capacity.slots
 
     def fits(self, need: Resources) -> bool:
-        """Return whether the host has ``need`` left."""
+        """Return whether ``need`` fits into the free capacity of the host."""
         return (
             need.slots <= self.slots
             and need.cpu_milli <= self.cpu
@@ -66,9 +77,9 @@
         )
 
     def count(self, need: Resources) -> int:
-        """Return how many tasks of ``need`` the host could take."""
-        room = min(self.slots, self.limit - (self.capacity.slots - self.slots))
-        best = room // max(need.slots, 1)
+        """Return how many tasks that each take ``need`` fit on the host."""
+        free_tasks = min(self.slots, self.limit - (self.capacity.slots - self.slots))
+        best = free_tasks // max(need.slots, 1)
         if need.cpu_milli:
             best = min(best, self.cpu // need.cpu_milli)
         if need.memory_mib:
@@ -78,7 +89,7 @@
         return max(best, 0)
 
     def used(self) -> Resources:
-        """Return what is given away."""
+        """Return the allocated resources."""
         cap = self.capacity
         return Resources(
             cap.cpu_milli - self.cpu,
@@ -89,11 +100,11 @@
 
 
 class HostIndex:
-    """The hosts of one pool, in levels by what they have left.
+    """Index of a pool's hosts, grouped into levels by free capacity.
 
-    There is a row of levels for each dimension. A search takes the row of the
-    dimension of which the task needs the largest part, begins at the level that
-    the task needs, and stops after ``MAX_PROBES`` hosts.
+    There is a row of levels for each dimension. A search uses the row of the
+    dimension of which the task needs the largest fraction of a host, begins at the
+    level that the task needs, and stops after ``MAX_PROBES`` hosts.
     """
 
     def __init__(self, capacity: Resources) -> None:
@@ -103,23 +114,23 @@
         self.free_memory = 0
         self.free_accelerators = 0
         self.free_slots = 0
-        self._steps = (
-            LEVELS,
-            LEVELS,
+        self._level_counts = (
+            RESOURCE_LEVELS,
+            RESOURCE_LEVELS,
             capacity.accelerators or 1,
             min(capacity.slots, MAX_SLOT_LEVELS),
         )
         self._rows: list[list[dict[str, HostView]]] = [
-            [{} for _ in range(steps + 1)] for steps in self._steps
+            [{} for _ in range(level_counts + 1)] for level_counts in self._level_counts
         ]
 
     def add(self, host: HostView) -> None:
-        """Add a host, open or not."""
+        """Add a host, whether it is open or not."""
         self.hosts[host.name] = host
         self.refresh(host)
 
     def remove(self, name: str) -> HostView | None:
-        """Remove a host and return it."""
+        """Remove a host and return it, or None if it is not indexed."""
         host = self.hosts.pop(name, None)
         if host is not None:
             host.open = False
@@ -127,10 +138,10 @@
         return host
 
     def refresh(self, host: HostView) -> None:
-        """Put a host in its levels after ``open`` or its room has changed."""
+        """Update a host's levels after ``open`` or its free capacity has changed."""
         if host.counted != host.open:
             host.counted = host.open
-            self._count(host, 1 if host.open else -1)
+            self._add_to_sums(host, 1 if host.open else -1)
         levels = self._levels_of(host) if host.open and host.slots > 0 else []
         if levels == host.levels:
             return
@@ -140,7 +151,7 @@
             row[level][host.name] = host
         host.levels = levels
 
-    def _count(self, host: HostView, sign: int) -> None:
+    def _add_to_sums(self, host: HostView, sign: int) -> None:
         self.free_cpu += sign * host.cpu
         self.free_memory += sign * host.memory
         self.free_accelerators += sign * host.accelerators
@@ -148,16 +159,16 @@
 
     def _levels_of(self, host: HostView) -> list[int]:
         cap = self.capacity
-        steps = self._steps
+        level_counts = self._level_counts
         return [
-            host.cpu * steps[0] // cap.cpu_milli,
-            host.memory * steps[1] // cap.memory_mib,
+            host.cpu * level_counts[0] // cap.cpu_milli,
+            host.memory * level_counts[1] // cap.memory_mib,
             host.accelerators,
-            host.slots * steps[3] // cap.slots,
+            host.slots * level_counts[3] // cap.slots,
         ]
 
     def _row_for(self, need: Resources) -> tuple[list[dict[str, HostView]], int]:
-        """Return the row to search and the level at which fitting hosts begin."""
+        """Return the row to search and the lowest level that can have fitting hosts."""
         cap = self.capacity
         if need.accelerators:
             return self._rows[2], need.accelerators
@@ -168,30 +179,30 @@
             need.slots / cap.slots,
         )
         best = max(range(len(parts)), key=parts.__getitem__)
-        return self._rows[best], int(parts[best] * self._steps[best])
+        return self._rows[best], int(parts[best] * self._level_counts[best])
 
     def take(self, host: HostView, task: str, need: Resources, workload: str) -> None:
-        """Give ``need`` of a host to a task."""
+        """Allocate ``need`` on a host to a task."""
         assert task not in host.tasks
         host.tasks[task] = need
         host.members[workload] = host.members.get(workload, 0) + 1
         self._change(host, need, -1)
 
     def give_back(self, host: HostView, task: str, workload: str) -> None:
-        """Take back what a task held."""
+        """Release the resources of a task."""
         need = host.tasks.pop(task)
-        left = host.members[workload] - 1
-        if left:
-            host.members[workload] = left
+        remaining = host.members[workload] - 1
+        if remaining:
+            host.members[workload] = remaining
         else:
             del host.members[workload]
         self._change(host, need, 1)
 
     def resize(self, host: HostView, task: str, need: Resources) -> None:
-        """Change what a task holds, up to what the host has left."""
+        """Change the allocation of a task, up to the free capacity of the host."""
         self._change(host, host.tasks[task], 1)
-        room = Resources(host.cpu, host.memory, need.accelerators, need.slots)
-        need = need.clip(room)
+        free = Resources(host.cpu, host.memory, need.accelerators, need.slots)
+        need = need.clip(free)
         host.tasks[task] = need
         self._change(host, need, -1)
 
@@ -208,36 +219,39 @@
         self.refresh(host)
 
     def tightest(
-        self, need: Resources, avoid: set[str], closed: set[str]
+        self, need: Resources, avoid: set[str], reserved: set[str]
     ) -> HostView | None:
-        """Return the fitting host that has least left, accelerators first.
+        """Return the fitting host with the least free capacity, accelerators first.
 
         Parameters
         ----------
         need : Resources
-            What the task takes.
+            Resources that the task takes.
         avoid : set of str
             Hosts on which the task failed.
-        closed : set of str
-            Hosts held for a gang.
+        reserved : set of str
+            Hosts reserved for other items.
         """
         row, start = self._row_for(need)
         return self._search(
             row[start:],
             need,
-            avoid | closed,
+            avoid | reserved,
             lambda host: (host.accelerators, host.memory),
         )
 
     def widest(
-        self, need: Resources, avoid: set[str], closed: set[str], workload: str
+        self, need: Resources, avoid: set[str], reserved: set[str], workload: str
     ) -> HostView | None:
-        """Return a fitting host with most left, fewest of the same workload."""
+        """Return a fitting host from among those with the most free capacity.
+
+        Of the hosts found, one with the fewest tasks of the same workload is taken.
+        """
         row, start = self._row_for(need)
         return self._search(
             row[start:][::-1],
             need,
-            avoid | closed,
+            avoid | reserved,
             lambda host: (host.members.get(workload, 0), -host.slots),
         )
 
@@ -245,47 +259,51 @@
         self,
         levels: Sequence[dict[str, HostView]],
         need: Resources,
-        barred: set[str],
+        excluded: set[str],
         key: Callable[[HostView], tuple[int, int]],
     ) -> HostView | None:
-        """Return the best of a few fitting hosts of the first level with any."""
+        """Return the best of the fitting hosts on the first level that has some.
+
+        At most ``MAX_FITTING_HOSTS`` fitting hosts are compared.
+        """
         found: list[HostView] = []
         probes = 0
         for level in levels:
             for host in level.values():
                 probes += 1
-                if host.fits(need) and host.name not in barred:
+                if host.fits(need) and host.name not in excluded:
                     found.append(host)
-                if len(found) >= CHOICES or probes >= MAX_PROBES:
+                if len(found) >= MAX_FITTING_HOSTS or probes >= MAX_PROBES:
                     break
             if found or probes >= MAX_PROBES:
                 break
         return min(found, key=key) if found else None
 
     def whole(
-        self, need: Resources, size: int, avoid: set[str], closed: set[str]
+        self, need: Resources, size: int, avoid: set[str], reserved: set[str]
     ) -> list[tuple[HostView, int]] | None:
-        """Return hosts and counts that take ``size`` tasks together, or none.
+        """Return hosts for a gang of ``size`` tasks, each with its count, or None.
 
-        Hosts with most left are taken first; the rest of the gang goes to the
-        tightest host that holds it, so that few hosts are left partly free.
+        Hosts with the most free capacity are taken first. The remaining members go
+        to the host with the least free capacity that fits them, so that few hosts
+        stay partly free.
         """
-        barred = avoid | closed
+        excluded = avoid | reserved
         chosen: list[tuple[HostView, int]] = []
-        left = size
+        remaining = size
         for host in self._descending(need):
-            if host.name in barred:
+            if host.name in excluded:
                 continue
-            room = host.count(need)
-            if room <= 0:
+            fit_count = host.count(need)
+            if fit_count <= 0:
                 continue
-            if room >= left:
-                taken = barred | {view.name for view, _ in chosen}
-                snug = self.tightest(need.times(left), taken, set())
-                chosen.append((snug or host, left))
+            if fit_count >= remaining:
+                taken = excluded | {view.name for view, _ in chosen}
+                tightest_host = self.tightest(need.times(remaining), taken, set())
+                chosen.append((tightest_host or host, remaining))
                 return chosen
-            chosen.append((host, room))
-            left -= room
+            chosen.append((host, fit_count))
+            remaining -= fit_count
         return None
 
     def _descending(self, need: Resources) -> Iterator[HostView]:
