--- a/siskinroad/work/asking.py
+++ b/siskinroad/work/asking.py
@@ -14,12 +14,12 @@
 
 from collections.abc import Iterable
 
-from siskinroad.work.book import Book
 from siskinroad.work.effects import AskAdvice
 from siskinroad.work.host import Host
 from siskinroad.work.job import StepRun
 from siskinroad.work.model import Advice, Queue
 from siskinroad.work.plan import Plan, Trial, can_hold
+from siskinroad.work.pool_state import PoolState
 
 __all__ = ["Asker"]
 
@@ -46,12 +46,12 @@
 
     Parameters
     ----------
-    book : Book
+    pool_state : PoolState
         The pool state.
     """
 
-    def __init__(self, book: Book) -> None:
-        self.book = book
+    def __init__(self, pool_state: PoolState) -> None:
+        self.pool_state = pool_state
 
     def is_advised(self, plan: Plan, step: StepRun, advice: Advice) -> bool:
         """Return whether the allowed hosts are known; request advice if not."""
@@ -124,7 +124,7 @@
         """Return when a host has capacity for one, two and more tasks of a step."""
         need = step.spec.need
         capacity = host.free(step.key, plan.now)
-        speeds = self.book.speeds
+        speeds = self.pool_state.speeds
         ends = [
             (plan.now + speeds.remaining(run, plan.now), run.need)
             for run in host.runs.values()
@@ -142,8 +142,8 @@
 
     def look_ahead(self, plan: Plan) -> None:
         """Request advice for steps that become ready when the running ones end."""
-        for step in list(self.book.ready.values()):
-            queue = self.book.queues.get(step.job.queue)
+        for step in list(self.pool_state.ready.values()):
+            queue = self.pool_state.queues.get(step.job.queue)
             if queue is None or queue.advice is None or step.job.closed:
                 continue
             for after in step.job.steps.values():
@@ -175,17 +175,21 @@
         for task in step.tasks:
             if task.state == "done":
                 continue
-            host = self.book.hosts.get(task.host)
+            host = self.pool_state.hosts.get(task.host)
             run = host.runs.get((task.id, task.run)) if host is not None else None
             if run is None or run.state != "running":
                 return float("inf")
-            remaining_time = max(remaining_time, self.book.speeds.remaining(run, now))
+            remaining_time = max(
+                remaining_time, self.pool_state.speeds.remaining(run, now)
+            )
         return remaining_time
 
     def _add_spare_hosts(self, step: StepRun, hosts: Iterable[Host]) -> list[str]:
         """Return the names of ``hosts`` and of a few others with tickets."""
         names = {host.name for host in hosts}
-        spare = [n for n in step.tickets if n not in names and n in self.book.hosts]
+        spare = [
+            n for n in step.tickets if n not in names and n in self.pool_state.hosts
+        ]
         return [*sorted(names), *spare[:SPARE_HOSTS]]
 
     def _request_advice(
--- a/siskinroad/work/desk.py
+++ b/siskinroad/work/desk.py
@@ -243,7 +243,7 @@
                     known = await owner.cancel(msg.subject, timeout)
                     return JobAnswer(msg.id, "", "cancelled" if known else "", 0)
                 case "pending":
-                    return JobAnswer(msg.id, "", "", owner.pending(msg.subject))
+                    return JobAnswer(msg.id, "", "", owner.pending_count(msg.subject))
         except SiskinroadError as exc:
             log.warning(
                 "desk: question is not answered",
--- a/siskinroad/work/effects.py
+++ b/siskinroad/work/effects.py
@@ -6,7 +6,7 @@
 
 from siskinroad.work.host import Run
 
-__all__ = ["AskAdvice", "Effect", "PaceRun", "SettleHost", "StartRun", "StopRun"]
+__all__ = ["AskAdvice", "Effect", "PaceRun", "ReconcileHost", "StartRun", "StopRun"]
 
 
 @dataclass(slots=True, frozen=True)
@@ -39,7 +39,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SettleHost:
+class ReconcileHost:
     """Request to settle a host: reconcile its runs with the owner's view.
 
     The host is asked at once, with its raised token, what it runs.
@@ -60,4 +60,4 @@
     duration: float
 
 
-Effect = StartRun | StopRun | PaceRun | SettleHost | AskAdvice
+Effect = StartRun | StopRun | PaceRun | ReconcileHost | AskAdvice
--- a/siskinroad/work/holds.py
+++ b/siskinroad/work/holds.py
@@ -49,7 +49,7 @@
     async def _run_renewals(self, name: str) -> None:
         """Renew a host's lease and process its reports while the host is known."""
         while True:
-            host = self.term.book.hosts.get(name)
+            host = self.term.pool_state.hosts.get(name)
             if host is None:
                 return
             if not self.term.may_act():
@@ -89,9 +89,11 @@
         if isinstance(report, Rejection):
             return self._handle_rejection(host, report, token)
         now, wall = loop.time(), self.term.parts.wall()
-        effects = self.term.book.report(host, report, token, sent_at, now, wall)
+        effects = self.term.pool_state.apply_report(
+            host, report, token, sent_at, now, wall
+        )
         self.term.carry_out(effects)
-        settled = self.term.book.settle_tasks(now)
+        settled = self.term.pool_state.settle_tasks(now)
         if settled or report.ended or report.running:
             self.term.plan_wanted.set()
         return True
@@ -119,7 +121,7 @@
                 extra={"host": host.name},
             )
             host.call_failed()
-            self.term.carry_out(self.term.book.host_replaced(host, now))
+            self.term.carry_out(self.term.pool_state.replace_host(host, now))
         return False
 
     async def _wait_until_recorded(self, host: Host) -> None:
@@ -143,7 +145,7 @@
         such as after the host's lease has expired.
         """
         while True:
-            host = self.term.book.hosts.get(name)
+            host = self.term.pool_state.hosts.get(name)
             if host is None or not any(
                 run.state == "doubtful" for run in host.runs.values()
             ):
--- a/siskinroad/work/jobbook.py
+++ b/siskinroad/work/job_table.py
@@ -14,16 +14,16 @@
 from siskinroad.work.records import Accepted, Progress
 from siskinroad.work.speed import Speeds
 
-__all__ = ["JobBook"]
+__all__ = ["JobTable"]
 
 # Number of hosts assumed for each advice request when the time of a job is estimated,
 # as the platform's documentation specifies.
 HOSTS_PER_ADVICE_REQUEST = 30
 
-log = logging.getLogger("siskinroad.book")
+log = logging.getLogger("siskinroad.pool_state")
 
 
-class JobBook:
+class JobTable:
     """Table of the jobs of one pool, without the hosts that run them.
 
     Parameters
@@ -65,12 +65,12 @@
         for queue in setup.queues:
             self.queues[queue.name] = queue
 
-    def accept(self, accepted: Accepted, now: float, wall: float, fresh: bool) -> Job:
+    def accept(self, accepted: Accepted, now: float, wall: float, is_new: bool) -> Job:
         """Add an accepted job and return it; a repeated submission changes nothing.
 
         Parameters
         ----------
-        fresh : bool
+        is_new : bool
             Whether no former owner can have started any of its tasks.
         """
         known = self.jobs.get(accepted.job)
@@ -81,8 +81,8 @@
         if job.spec.occurrences > 1 or job.spec.first:
             self.timed.add(job.id)
         else:
-            job.open_occurrence(settled=fresh or self.settled)
-        self._find_ready(job, now)
+            job.open_occurrence(settled=is_new or self.settled)
+        self._collect_ready_steps(job, now)
         return job
 
     def restore(self, progress: Progress, now: float) -> None:
@@ -93,7 +93,7 @@
         job.restore(progress)
         for step in list(job.steps.values()):
             self._close_step_if_done(step, now)
-        self._find_ready(job, now)
+        self._collect_ready_steps(job, now)
 
     def open_due(self, now: float, wall: float, max_lead: float) -> None:
         """Open occurrences that are due within ``max_lead`` seconds."""
@@ -103,11 +103,11 @@
                 if job.spec.due(job.opened) > wall + max_lead:
                     break
                 job.open_occurrence(settled=self.settled)
-                self._find_ready(job, now)
+                self._collect_ready_steps(job, now)
             if job.closed or job.opened >= job.spec.occurrences:
                 self.timed.discard(job_id)
 
-    def pending(self, queue: str) -> int:
+    def pending_count(self, queue: str) -> int:
         """Return the number of open jobs of a queue that have not started."""
         return sum(
             1
@@ -127,7 +127,7 @@
             self.health.forget_workload(job_id)
         return expired
 
-    def allowed(self, job: Job) -> float:
+    def allowed_time(self, job: Job) -> float:
         """Return the seconds within which a job should be complete.
 
         The time is based on the job's longest chain of steps, with declared run
@@ -141,10 +141,10 @@
             chain += job.chain_length * queue.advice.duration(HOSTS_PER_ADVICE_REQUEST)
         return queue.slack * chain + queue.target
 
-    def objective(self, job: Job, occurrence: int = 0) -> float:
+    def target_time(self, job: Job, occurrence: int = 0) -> float:
         """Return the Unix time by which an occurrence should be complete."""
         base_time = job.spec.due(occurrence) if job.spec.first else job.accepted_at
-        return base_time + self.allowed(job)
+        return base_time + self.allowed_time(job)
 
     def task(self, key: TaskId) -> Task | None:
         """Return a task, or None if the job or the task is unknown."""
@@ -160,7 +160,7 @@
         job = self.jobs.get(key[0])
         return job.steps.get((key[1], key[2])) if job else None
 
-    def _find_ready(self, job: Job, now: float) -> None:
+    def _collect_ready_steps(self, job: Job, now: float) -> None:
         if job.closed:
             return
         for step in job.steps.values():
@@ -174,7 +174,7 @@
         if not step.is_done():
             return
         self.ready.pop(step.key, None)
-        self._find_ready(job, now)
+        self._collect_ready_steps(job, now)
 
     def _complete_job_if_done(self, job: Job, wall: float) -> None:
         if job.closed or job.opened < job.spec.occurrences:
@@ -189,12 +189,12 @@
         for key in [key for key in self.ready if key[0] == job.id]:
             del self.ready[key]
         log.info(
-            "book: job %s",
+            "pool_state: job %s",
             outcome,
             extra={
                 "request": job.id,
                 "queue": job.queue,
                 "age_s": round(wall - job.accepted_at, 3),
-                "late_s": round(wall - self.objective(job, job.opened - 1), 3),
+                "late_s": round(wall - self.target_time(job, job.opened - 1), 3),
             },
         )
--- a/siskinroad/work/model.py
+++ b/siskinroad/work/model.py
@@ -157,9 +157,9 @@
     max_attempts : int
         Maximum number of runs of one task that may fail through its own fault.
     slack : float
-        Multiple of the job's expected length that its objective allows.
+        Multiple of the job's expected length that its target time allows.
     target : float
-        Seconds that the objective allows in addition.
+        Seconds that the target time allows in addition.
     """
 
     name: str
--- a/siskinroad/work/orders.py
+++ b/siskinroad/work/orders.py
@@ -52,19 +52,21 @@
 
     async def start(self, effect: StartRun) -> None:
         """Send a start with the host's token at the time of sending."""
-        host = self.term.book.hosts.get(effect.host)
+        host = self.term.pool_state.hosts.get(effect.host)
         if host is None:
             return
         loop = asyncio.get_running_loop()
         async with self._semaphore(host.name):
             now = loop.time()
-            if not self.term.book.may_send(host, effect.run):
-                self.term.carry_out(self.term.book.start_dropped(host, effect.run, now))
+            if not self.term.pool_state.may_send(host, effect.run):
+                self.term.carry_out(
+                    self.term.pool_state.drop_start(host, effect.run, now)
+                )
                 return
             until = host.lease_until(now)
             if until is None or not self.term.may_act():
                 self.term.carry_out(
-                    self.term.book.start_not_sent(host, effect.run, now)
+                    self.term.pool_state.note_start_not_sent(host, effect.run, now)
                 )
                 return
             # The token may have been raised since the effect was created, and the host
@@ -98,12 +100,14 @@
                 reply = await self.term.parts.link.start(command)
         except NotSentError as exc:
             outcome = f"not sent: {exc}"
-            effects = self.term.book.start_not_sent(host, run, loop.time())
+            effects = self.term.pool_state.note_start_not_sent(host, run, loop.time())
             host.call_failed()
         except (OutcomeUnknownError, TimeoutError) as exc:
             outcome = f"unknown: {exc}"
             host.answered_in(loop.time() - sent_at)
-            effects = self.term.book.start_unanswered(host, run, loop.time())
+            effects = self.term.pool_state.note_start_without_reply(
+                host, run, loop.time()
+            )
             host.call_failed()
         else:
             host.answered_in(loop.time() - sent_at)
@@ -138,15 +142,15 @@
         if rejection is Rejection.UNWELL:
             host.call_failed()
         if rejection is Rejection.OTHER_LIFE:
-            self.term.book.host_unlisted(host.name, now)
+            self.term.pool_state.note_host_unlisted(host.name, now)
             host.call_failed()
-        return self.term.book.start_answered(host, run, rejection, now)
+        return self.term.pool_state.apply_start_reply(host, run, rejection, now)
 
     async def stop(self, effect: StopRun) -> None:
         """Send a stop, repeated until it is answered or the run has ended."""
         task, number = effect.run.key
         while True:
-            host = self.term.book.hosts.get(effect.host)
+            host = self.term.pool_state.hosts.get(effect.host)
             if host is None:
                 return
             async with self._semaphore(host.name):
@@ -180,7 +184,7 @@
             return f"unknown: {exc}", False
         if reply.rejection is None:
             return "sent", True
-        host = self.term.book.hosts.get(command.host)
+        host = self.term.pool_state.hosts.get(command.host)
         is_superseded = host is not None and command.token < host.token
         is_retryable = reply.rejection is Rejection.FENCED and is_superseded
         return reply.rejection.value, not is_retryable
@@ -191,7 +195,7 @@
 
     async def pace(self, effect: PaceRun) -> None:
         """Throttle a run; if there is no answer, the monitor decides again later."""
-        host = self.term.book.hosts.get(effect.host)
+        host = self.term.pool_state.hosts.get(effect.host)
         if host is None:
             return
         outcome = "sent"
@@ -215,7 +219,7 @@
     async def ask(self, effect: AskAdvice) -> None:
         """Request advice and store the tickets that it grants to the step."""
         loop = asyncio.get_running_loop()
-        step = self.term.book.step_by_key(effect.step)
+        step = self.term.pool_state.step_by_key(effect.step)
         if step is None:
             return
         try:
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -11,7 +11,7 @@
     AskAdvice,
     Effect,
     PaceRun,
-    SettleHost,
+    ReconcileHost,
     StartRun,
     StopRun,
 )
@@ -67,10 +67,10 @@
         self.term = Term(pool, inherited.term, parts)
         self.term.carry_out = self._carry_out
         self.term.doubted = self.doubt
-        self.book = self.term.book
-        self.book.configure(setup)
-        self.planner = Planner(self.book)
-        self.steward = Steward(self.book, parts.timing)
+        self.pool_state = self.term.pool_state
+        self.pool_state.configure(setup)
+        self.planner = Planner(self.pool_state)
+        self.steward = Steward(self.pool_state, parts.timing)
         self.progress = ProgressLog(self.term, inherited.hosts)
         self.orders = Orders(self.term)
         self.holds = Holds(self.term, self.progress)
@@ -87,20 +87,20 @@
     def _load_inherited(self, inherited: Inheritance) -> None:
         loop = asyncio.get_running_loop()
         now, wall = loop.time(), self.parts.wall()
-        book = self.book
+        pool_state = self.pool_state
         if inherited.former is None:
-            book.settled = True
+            pool_state.settled = True
         else:
-            book.settled = False
+            pool_state.settled = False
             names = inherited.hosts.names if inherited.hosts else ()
-            book.expect_hosts(names, now + RIGHT_TIME + LEASE_TIME * 1.1)
+            pool_state.expect_hosts(names, now + RIGHT_TIME + LEASE_TIME * 1.1)
             self._check_former_owner(now)
         for accepted in inherited.accepted.values():
-            book.accept(accepted, now, wall, fresh=False)
+            pool_state.accept(accepted, now, wall, is_new=False)
         for progress in inherited.progress.values():
-            book.restore(progress, now)
+            pool_state.restore(progress, now)
         for job_id in inherited.cancelled:
-            book.cancel(job_id, now, wall)
+            pool_state.cancel(job_id, now, wall)
         self.term.right_until = inherited.claimed_at + RIGHT_TIME
         log.info(
             "owner: begins its term",
@@ -120,7 +120,7 @@
             return
         later = self.parts.is_later_life(former.node, former.incarnation)
         if self._former_released or later:
-            self.book.former_gone(now + LEASE_TIME * 1.1)
+            self.pool_state.note_former_owner_dead(now + LEASE_TIME * 1.1)
             self.former = None
 
     # Lifecycle
@@ -186,7 +186,7 @@
 
     def configure(self, setup: Setup) -> None:
         """Apply a configuration."""
-        self.book.configure(setup)
+        self.pool_state.configure(setup)
         self.term.plan_wanted.set()
 
     def hosts_listed(self, entries: dict[str, HostEntry]) -> None:
@@ -194,12 +194,12 @@
         now = asyncio.get_running_loop().time()
         for entry in entries.values():
             if entry.pool == self.pool:
-                self.book.host_listed(entry, now)
+                self.pool_state.add_or_update_host(entry, now)
                 self.holds.hold(entry.name)
-        for name in self.book.hosts:
+        for name in self.pool_state.hosts:
             listed = entries.get(name)
             if listed is None or listed.pool != self.pool:
-                self.book.host_unlisted(name, now)
+                self.pool_state.note_host_unlisted(name, now)
         self.term.plan_wanted.set()
 
     # Accepted jobs
@@ -234,9 +234,9 @@
             return
         match stored:
             case Accepted(job=job):
-                known = job in self.book.jobs
-                self.book.accept(
-                    stored, now, wall, fresh=item.offset + 1 > self.term.number
+                known = job in self.pool_state.jobs
+                self.pool_state.accept(
+                    stored, now, wall, is_new=item.offset + 1 > self.term.number
                 )
                 if not known:
                     log.info(
@@ -249,7 +249,7 @@
                         },
                     )
             case Cancelled(job=job):
-                self._carry_out(self.book.cancel(job, now, wall))
+                self._carry_out(self.pool_state.cancel(job, now, wall))
                 self.term.flush_wanted.set()
 
     # Planning
@@ -274,9 +274,9 @@
             confirmed = self.follower.confirmed_at + RIGHT_TIME
             self.term.right_until = max(self.term.right_until, confirmed)
             self._check_former_owner(now)
-            effects = self.book.lapse_silent(now)
-            self.book.settle_tasks(now)
-            self.book.open_due(now, wall, EARLY_START_TIME)
+            effects = self.pool_state.expire_silent_hosts(now)
+            self.pool_state.settle_tasks(now)
+            self.pool_state.open_due(now, wall, EARLY_START_TIME)
             effects += self.steward.look(now, wall)
             self._carry_out(effects)
             if self.progress.due:
@@ -292,11 +292,11 @@
                     self.term.spawn(self.orders.stop(effect))
                 case PaceRun():
                     self.term.spawn(self.orders.pace(effect))
-                case SettleHost(host=host):
+                case ReconcileHost(host=host):
                     self.term.spawn(self.holds.settle(host))
                 case AskAdvice():
                     self.term.spawn(self.orders.ask(effect))
-        if self.book.dirty:
+        if self.pool_state.dirty:
             self.term.flush_wanted.set()
 
     # Requests from callers
@@ -309,7 +309,7 @@
         SiskinroadError
             The owner cannot tell, as it has not read the newest records.
         """
-        job = self.book.jobs.get(job_id)
+        job = self.pool_state.jobs.get(job_id)
         if job is not None:
             return job.shown()
         self._require_fresh_records()
@@ -330,7 +330,7 @@
         StoreUnknownError
             The job is cancelled, but that is not stored yet.
         """
-        job = self.book.jobs.get(job_id)
+        job = self.pool_state.jobs.get(job_id)
         if job is None:
             self._require_fresh_records()
             return False
@@ -338,7 +338,7 @@
             return True
         now, wall = asyncio.get_running_loop().time(), self.parts.wall()
         waiter = self.progress.get_recorded_event(job_id)
-        self._carry_out(self.book.cancel(job_id, now, wall))
+        self._carry_out(self.pool_state.cancel(job_id, now, wall))
         self.term.flush_wanted.set()
         try:
             async with asyncio.timeout(timeout):
@@ -349,7 +349,7 @@
             ) from None
         return True
 
-    def pending(self, queue: str) -> int:
+    def pending_count(self, queue: str) -> int:
         """Return the number of accepted jobs of a queue that have not started."""
         self._require_fresh_records()
-        return self.book.pending(queue)
+        return self.pool_state.pending_count(queue)
--- a/siskinroad/work/plan.py
+++ b/siskinroad/work/plan.py
@@ -5,11 +5,11 @@
 from dataclasses import dataclass, field
 
 from siskinroad.resources import Resources
-from siskinroad.work.book import Book
 from siskinroad.work.effects import Effect
 from siskinroad.work.host import Host
 from siskinroad.work.job import StepRun, Task
 from siskinroad.work.lines import LineTimes
+from siskinroad.work.pool_state import PoolState
 
 __all__ = [
     "Plan",
@@ -47,7 +47,7 @@
         When the advisor channels are free; None if they always are.
     """
 
-    book: Book
+    pool_state: PoolState
     now: float
     wall: float
     hosts: list[Host]
--- a/siskinroad/work/planner.py
+++ b/siskinroad/work/planner.py
@@ -1,6 +1,6 @@
 """Scheduler that places the waiting tasks of a pool on its hosts.
 
-Steps are ordered by priority and then by objective, so that short urgent steps do
+Steps are ordered by priority and then by target time, so that short urgent steps do
 not queue behind long wide ones. Single tasks would fill every gap before a gang fits:
 one blocked large step therefore excludes later steps from the hosts that will fit it
 first, and preempts less urgent runs there that can resume from a checkpoint.
@@ -12,7 +12,6 @@
 
 from siskinroad.resources import Resources
 from siskinroad.work.asking import Asker
-from siskinroad.work.book import Book
 from siskinroad.work.effects import Effect, StartRun
 from siskinroad.work.headroom import UrgentRoom
 from siskinroad.work.host import Host, Run
@@ -29,13 +28,14 @@
     step_allows_host,
     task_avoids_host,
 )
+from siskinroad.work.pool_state import PoolState
 
 __all__ = ["Planner"]
 
 # Fraction of its predicted time in which a step may already end: declared times are
-# rough, and a larger value calls steps late that can still meet their objective.
+# rough, and a larger value calls steps late that can still meet their target time.
 EARLIEST_END_FRACTION = 0.8
-# Multiple of the time that its objective allows after which a job has no value left
+# Multiple of the time that its target time allows after which a job has no value left
 # for its users.
 WORTHLESS_FACTOR = 3.0
 # Demand of other steps, as a fraction of a host's capacity, that adds one to the
@@ -57,14 +57,14 @@
 
     Parameters
     ----------
-    book : Book
+    pool_state : PoolState
         State of the pool.
     """
 
-    def __init__(self, book: Book) -> None:
-        self.book = book
+    def __init__(self, pool_state: PoolState) -> None:
+        self.pool_state = pool_state
         self.urgent_headroom = UrgentRoom()
-        self.advice_requester = Asker(book)
+        self.advice_requester = Asker(pool_state)
 
     def plan(
         self, now: float, wall: float, lines: LineTimes | None = None
@@ -76,10 +76,10 @@
         lines : LineTimes, optional
             When the advisor channels are free; None if they always are.
         """
-        hosts = [host for host in self.book.hosts.values() if host.open(now)]
-        steps = [s for s in self.book.ready.values() if not s.job.closed]
+        hosts = [host for host in self.pool_state.hosts.values() if host.open(now)]
+        steps = [s for s in self.pool_state.ready.values() if not s.job.closed]
         demand = _compute_demand(steps, hosts)
-        plan = Plan(self.book, now, wall, hosts, demand, lines=lines)
+        plan = Plan(self.pool_state, now, wall, hosts, demand, lines=lines)
         plan.non_urgent_cpu_milli = self._compute_non_urgent_cpu(steps, hosts, now)
         steps.sort(key=lambda s: self._rank_step(s, wall))
         for step in steps:
@@ -88,7 +88,7 @@
         return plan.effects
 
     def _is_urgent(self, queue_name: str) -> bool:
-        queue = self.book.queues.get(queue_name)
+        queue = self.pool_state.queues.get(queue_name)
         return queue is not None and queue.priority == 0
 
     def _compute_non_urgent_cpu(
@@ -116,26 +116,28 @@
         )
 
     def _rank_step(self, step: StepRun, wall: float) -> tuple[int, int, float]:
-        """Return the sort key of a step: priority, lateness, objective.
+        """Return the sort key of a step: priority, lateness, target time.
 
-        Steps that can still meet their objective come first. Under overload, the
-        earliest objective first would spend capacity on steps that are late anyway,
+        Steps that can still meet their target time come first. Under overload, the
+        earliest target time first would spend capacity on steps that are late anyway,
         and so make the next ones late too.
         """
         job = step.job
-        queue = self.book.queues.get(job.queue)
-        remaining_s = job.tails[step.number] * self.book.speeds.factor(job.queue)
+        queue = self.pool_state.queues.get(job.queue)
+        remaining_s = job.tails[step.number] * self.pool_state.speeds.factor(job.queue)
         earliest_end = wall + EARLIEST_END_FRACTION * remaining_s
-        objective = self.book.objective(job, step.occurrence)
+        target_time = self.pool_state.target_time(job, step.occurrence)
         lateness = 0
-        if earliest_end > objective:
-            worthless_at = objective + (WORTHLESS_FACTOR - 1) * self.book.allowed(job)
+        if earliest_end > target_time:
+            worthless_at = target_time + (
+                WORTHLESS_FACTOR - 1
+            ) * self.pool_state.allowed_time(job)
             lateness = 1 if earliest_end < worthless_at else 2
-        return (queue.priority if queue else 9, lateness, objective)
+        return (queue.priority if queue else 9, lateness, target_time)
 
     def _plan_step(self, plan: Plan, step: StepRun) -> None:
         waiting = step.waiting()
-        queue = self.book.queues.get(step.job.queue)
+        queue = self.pool_state.queues.get(step.job.queue)
         if not waiting or queue is None:
             return
         if step.spec.gang and len(waiting) < len(step.tasks):
@@ -221,7 +223,7 @@
         """Exclude later steps from the hosts that will fit a blocked large step first.
 
         Only one step per plan does so, the most urgent that can still meet its
-        objective: hosts kept for several steps at once would be idle most of the time.
+        target time: hosts kept for several steps at once would mostly be idle.
         """
         large = step.spec.gang or is_large(plan, step)
         if plan.excluded_hosts or not large or self._rank_step(step, plan.wall)[1]:
@@ -261,11 +263,11 @@
         if not step.spec.need.fits(available):
             return
         for run in chosen:
-            plan.effects += self.book.stop(host, run, "preempted")
+            plan.effects += self.pool_state.stop(host, run, "preempted")
 
     def _is_preemptible(self, plan: Plan, run: Run, queue: Queue) -> bool:
-        other = self.book.queues.get(run.queue)
-        step = self.book.step(run.key[0])
+        other = self.pool_state.queues.get(run.queue)
+        step = self.pool_state.step(run.key[0])
         if other is None or step is None or other.priority <= queue.priority:
             return False
         spec = step.spec
--- a/siskinroad/work/book.py
+++ b/siskinroad/work/pool_state.py
@@ -27,17 +27,17 @@
 from siskinroad.work.host import Host, Run
 from siskinroad.work.hosts import Ended, EndKind, HostReport, Rejection, Running
 from siskinroad.work.job import JobState, StepRun, Task
-from siskinroad.work.runbook import RunBook, label
+from siskinroad.work.run_table import RunTable, format_task_position
 
-__all__ = ["Book"]
+__all__ = ["PoolState"]
 
-log = logging.getLogger("siskinroad.book")
+log = logging.getLogger("siskinroad.pool_state")
 
 
-class Book(RunBook):
+class PoolState(RunTable):
     """Jobs, tasks, hosts and runs of one pool, updated from the hosts' reports."""
 
-    def start_answered(
+    def apply_start_reply(
         self, host: Host, run: Run, rejection: Rejection | None, now: float
     ) -> list[Effect]:
         """Apply a host's reply to a start."""
@@ -61,25 +61,27 @@
         """Return whether a start that is still unsent may be sent."""
         return host.runs.get(run.key) is run and run.state == "ordered"
 
-    def start_dropped(self, host: Host, run: Run, now: float) -> list[Effect]:
+    def drop_start(self, host: Host, run: Run, now: float) -> list[Effect]:
         """End a run whose start was withdrawn before it was sent."""
         if host.runs.get(run.key) is not run or not run.allows("drop"):
             return []
         run.move("drop")
         return self._end_run(host, run, "withdrawn", now)
 
-    def start_not_sent(self, host: Host, run: Run, now: float) -> list[Effect]:
+    def note_start_not_sent(self, host: Host, run: Run, now: float) -> list[Effect]:
         """End a run whose start could not be sent from this daemon."""
-        return self.start_answered(host, run, Rejection.UNWELL, now)
+        return self.apply_start_reply(host, run, Rejection.UNWELL, now)
 
-    def start_unanswered(self, host: Host, run: Run, now: float) -> list[Effect]:
+    def note_start_without_reply(
+        self, host: Host, run: Run, now: float
+    ) -> list[Effect]:
         """Raise the host's token to void a start that may still be carried out."""
         if host.runs.get(run.key) is not run or not run.allows("miss"):
             return []
         run.move("miss")
         return [self.raise_token(host)]
 
-    def report(
+    def apply_report(
         self,
         host: Host,
         report: HostReport,
@@ -108,7 +110,7 @@
             # A former owner may have renewed the lease just before this report.
             host.granted(now)
             log.info(
-                "book: first report from host under this term",
+                "pool_state: first report from host under this term",
                 extra={
                     "host": host.name,
                     "token": token,
@@ -123,7 +125,7 @@
 
     def _handle_restart(self, host: Host, now: float) -> list[Effect]:
         log.warning(
-            "book: host restarted; runs of its former incarnation are ended",
+            "pool_state: host restarted; runs of its former incarnation are ended",
             extra={"host": host.name},
         )
         effects: list[Effect] = []
@@ -161,10 +163,10 @@
         if step is None or task is None:
             return []
         log.info(
-            "book: run ended",
+            "pool_state: run ended",
             extra={
                 "request": end.task.job,
-                "task": label(end.task),
+                "task": format_task_position(end.task),
                 "run": end.run,
                 "host": host.name,
                 "how": end.how.value,
@@ -240,7 +242,7 @@
         if verdict is not None and verdict.event == "eject":
             host.resting = True
             log.warning(
-                "book: host quarantined: too many of its runs failed",
+                "pool_state: host quarantined: too many of its runs failed",
                 extra={"host": host.name},
             )
         queue = self.queues.get(job.queue)
--- a/siskinroad/work/progress.py
+++ b/siskinroad/work/progress.py
@@ -67,7 +67,7 @@
     @property
     def due(self) -> bool:
         """Whether anything has not been stored yet."""
-        pending = self._batch is not None or bool(self.term.book.dirty)
+        pending = self._batch is not None or bool(self.term.pool_state.dirty)
         return pending or self._host_set() != self._recorded_hosts
 
     def get_recorded_event(self, job_id: str) -> asyncio.Event:
@@ -103,10 +103,12 @@
             await asyncio.sleep(FLUSH_INTERVAL)
 
     def _host_set(self) -> HostSet:
-        known = set(self.term.book.hosts)
-        if not self.term.book.settled:
-            known |= self.term.book.waiting_for_hosts
-        return HostSet(tuple(sorted(known)), self.term.number, self.term.book.settled)
+        known = set(self.term.pool_state.hosts)
+        if not self.term.pool_state.settled:
+            known |= self.term.pool_state.waiting_for_hosts
+        return HostSet(
+            tuple(sorted(known)), self.term.number, self.term.pool_state.settled
+        )
 
     async def flush(self) -> None:
         """Store every job that has changed, then acknowledge the hosts' ends.
@@ -128,22 +130,24 @@
             self._sequence += 1
         self._batch = None
         self._mark_recorded(batch)
-        if self.term.book.dirty:
+        if self.term.pool_state.dirty:
             self.term.flush_wanted.set()
 
     def _make_batch(self) -> _Batch:
-        changed = list(self.term.book.dirty)[:MAX_RECORDS_PER_APPEND]
-        self.term.book.dirty.difference_update(changed)
+        changed = list(self.term.pool_state.dirty)[:MAX_RECORDS_PER_APPEND]
+        self.term.pool_state.dirty.difference_update(changed)
         jobs = [
-            self.term.book.jobs[job] for job in changed if job in self.term.book.jobs
+            self.term.pool_state.jobs[job]
+            for job in changed
+            if job in self.term.pool_state.jobs
         ]
         records = [record_of(job.progress()) for job in jobs]
         hosts = self._host_set()
         if hosts != self._recorded_hosts:
             records.append(record_of(hosts))
         ends_seen: tuple[tuple[str, int, int], ...] = ()
-        if not self.term.book.dirty:
-            known = self.term.book.hosts.values()
+        if not self.term.pool_state.dirty:
+            known = self.term.pool_state.hosts.values()
             ends_seen = tuple((host.name, host.born, host.seen) for host in known)
         outcomes = tuple((job, job.outcome) for job in jobs)
         return _Batch(tuple(records), outcomes, hosts, ends_seen)
@@ -151,15 +155,15 @@
     def _mark_recorded(self, batch: _Batch) -> None:
         self._recorded_hosts = batch.hosts
         for name in batch.hosts.names:
-            if name in self.term.book.hosts:
-                self.term.book.hosts[name].recorded = True
+            if name in self.term.pool_state.hosts:
+                self.term.pool_state.hosts[name].recorded = True
         for job, outcome in batch.outcomes:
             job.recorded = outcome
             waiter = self._waiters.pop(job.id, None)
             if waiter is not None:
                 waiter.set()
         for name, born, seen in batch.ends_seen:
-            host = self.term.book.hosts.get(name)
+            host = self.term.pool_state.hosts.get(name)
             if host is not None and host.born == born:
                 host.acknowledged = max(host.acknowledged, seen)
         self.flushed.set()
--- a/siskinroad/work/runbook.py
+++ b/siskinroad/work/run_table.py
@@ -9,13 +9,13 @@
 import logging
 from collections.abc import Iterable
 
-from siskinroad.work.effects import Effect, SettleHost, StopRun
+from siskinroad.work.effects import Effect, ReconcileHost, StopRun
 from siskinroad.work.host import Host, Run
 from siskinroad.work.job import Job, JobState, Task
-from siskinroad.work.jobbook import JobBook
+from siskinroad.work.job_table import JobTable
 from siskinroad.work.model import HostEntry, TaskId
 
-__all__ = ["RunBook", "label"]
+__all__ = ["RunTable", "format_task_position"]
 
 # Number of host tokens reserved for each term. A term that raised a token more often
 # would reach the tokens of the next term, and hosts could no longer fence it.
@@ -24,10 +24,10 @@
 # They are skipped after a takeover, so that no run number is used twice.
 MAX_UNRECORDED_RUNS = 8
 
-log = logging.getLogger("siskinroad.book")
+log = logging.getLogger("siskinroad.pool_state")
 
 
-class RunBook(JobBook):
+class RunTable(JobTable):
     """Table of the hosts of one pool and their runs, on top of its jobs.
 
     Parameters
@@ -39,7 +39,7 @@
     ----------
     waiting_for_hosts : set of str
         Hosts on which a former owner may have started work.
-    former_lapse_at : float
+    former_leases_end_at : float
         Loop time by which every lease that a former owner granted has expired.
     """
 
@@ -47,7 +47,7 @@
         super().__init__(pool, term)
         self.hosts: dict[str, Host] = {}
         self.waiting_for_hosts: set[str] = set()
-        self.former_lapse_at = 0.0
+        self.former_leases_end_at = 0.0
 
     # Stopping runs
 
@@ -81,7 +81,7 @@
         run.move("stop")
         return [StopRun(host.name, run, reason)]
 
-    def copy(self, host: Host, run: Run, why: str, now: float) -> bool:
+    def allow_copy(self, host: Host, run: Run, why: str, now: float) -> bool:
         """Allow a speculative copy of a task while its run continues.
 
         Return False if the step allows no copies or the task already has one.
@@ -95,10 +95,10 @@
         task.older = host.name
         task.move("free")
         log.info(
-            "book: task may be placed again as a speculative copy",
+            "pool_state: task may be placed again as a speculative copy",
             extra={
                 "request": task.id.job,
-                "task": label(task.id),
+                "task": format_task_position(task.id),
                 "run": run.key[1],
                 "host": host.name,
                 "why": why,
@@ -119,7 +119,7 @@
 
     # Hosts
 
-    def host_listed(self, entry: HostEntry, now: float = 0.0) -> None:
+    def add_or_update_host(self, entry: HostEntry, now: float = 0.0) -> None:
         """Add or update a host from its entry in the live list."""
         host = self.hosts.get(entry.name)
         if host is None:
@@ -128,20 +128,20 @@
         if entry.draining and host.leaves_at == float("inf"):
             host.leaves_at = now + entry.stays
             log.info(
-                "book: host is draining",
+                "pool_state: host is draining",
                 extra={"host": entry.name, "stays_s": entry.stays},
             )
         host.entry = entry
         host.unlisted_at = 0.0
 
-    def host_unlisted(self, name: str, now: float) -> None:
+    def note_host_unlisted(self, name: str, now: float) -> None:
         """Note that a host has left the live list; its runs may continue."""
         host = self.hosts.get(name)
         if host is None or host.unlisted_at:
             return
         host.unlisted_at = now
         log.info(
-            "book: host is no longer in the live list",
+            "pool_state: host is no longer in the live list",
             extra={"host": name, "silent_s": round(now - host.reported_at, 2)},
         )
 
@@ -150,11 +150,11 @@
         self.waiting_for_hosts = set(names)
         for host in self.hosts.values():
             host.lapse_at = max(host.lapse_at, lapse_at)
-        self.former_lapse_at = lapse_at
+        self.former_leases_end_at = lapse_at
 
-    def former_gone(self, lapse_at: float) -> None:
+    def note_former_owner_dead(self, lapse_at: float) -> None:
         """Shorten the wait for silent hosts, as the former owner is dead."""
-        self.former_lapse_at = min(self.former_lapse_at, lapse_at)
+        self.former_leases_end_at = min(self.former_leases_end_at, lapse_at)
 
     def settle_tasks(self, now: float) -> bool:
         """Make unsettled tasks placeable once no unknown run of theirs can exist.
@@ -166,7 +166,7 @@
         if self.settled:
             return False
         unsettled_hosts = [n for n in self.waiting_for_hosts if not self._is_settled(n)]
-        if unsettled_hosts and now < self.former_lapse_at:
+        if unsettled_hosts and now < self.former_leases_end_at:
             return False
         self.settled = True
         count = 0
@@ -178,7 +178,8 @@
                         task.move("settle")
                         count += 1
         log.info(
-            "book: runs of former owners are reconciled; unsettled tasks may be placed",
+            "pool_state: runs of former owners are reconciled; "
+            "unsettled tasks may be placed",
             extra={
                 "tasks": count,
                 "silent_hosts": len(unsettled_hosts),
@@ -194,9 +195,9 @@
     def raise_token(self, host: Host) -> Effect:
         """Raise a host's token, which voids every start still in flight to it."""
         host.token += 1
-        return SettleHost(host.name)
+        return ReconcileHost(host.name)
 
-    def host_replaced(self, host: Host, now: float) -> list[Effect]:
+    def replace_host(self, host: Host, now: float) -> list[Effect]:
         """End all runs of a host whose address now serves another incarnation."""
         effects: list[Effect] = []
         for run in list(host.runs.values()):
@@ -206,7 +207,7 @@
         self.waiting_for_hosts.discard(host.name)
         return effects
 
-    def lapse_silent(self, now: float) -> list[Effect]:
+    def expire_silent_hosts(self, now: float) -> list[Effect]:
         """End the runs of silent hosts on which every lease has expired."""
         effects: list[Effect] = []
         for host in list(self.hosts.values()):
@@ -214,7 +215,8 @@
                 continue
             if host.runs:
                 log.warning(
-                    "book: leases of a silent host have expired; its runs are ended",
+                    "pool_state: leases of a silent host have expired; "
+                    "its runs are ended",
                     extra={
                         "host": host.name,
                         "runs": len(host.runs),
@@ -229,7 +231,7 @@
         return effects
 
     def _former_lease_end(self, host: Host) -> float:
-        return 0.0 if host.settled else self.former_lapse_at
+        return 0.0 if host.settled else self.former_leases_end_at
 
     # Starts and ends of runs
 
@@ -258,10 +260,10 @@
         if task.allows("free"):
             task.move("free")
         log.info(
-            "book: run ended without a listed end",
+            "pool_state: run ended without a listed end",
             extra={
                 "request": run.key[0].job,
-                "task": label(run.key[0]),
+                "task": format_task_position(run.key[0]),
                 "run": run.key[1],
                 "host": host.name,
                 "why": why,
@@ -282,6 +284,6 @@
         return effects
 
 
-def label(key: TaskId) -> str:
+def format_task_position(key: TaskId) -> str:
     """Return a task's position in its job as ``occurrence.step.index``, for logs."""
     return f"{key.occurrence}.{key.step}.{key.index}"
--- a/siskinroad/work/steward.py
+++ b/siskinroad/work/steward.py
@@ -14,11 +14,11 @@
 
 import logging
 
-from siskinroad.work.book import Book
 from siskinroad.work.effects import Effect, PaceRun
 from siskinroad.work.host import Host, Run
 from siskinroad.work.job import StepRun
 from siskinroad.work.model import Timing
+from siskinroad.work.pool_state import PoolState
 from siskinroad.work.speed import extrapolate_total_s
 
 __all__ = ["Steward"]
@@ -75,8 +75,8 @@
 class Steward:
     """Monitor of the runs on the hosts of one pool."""
 
-    def __init__(self, book: Book, timing: Timing) -> None:
-        self.book = book
+    def __init__(self, pool_state: PoolState, timing: Timing) -> None:
+        self.pool_state = pool_state
         self.timing = timing
         self._throttled_at: dict[str, float] = {}
         self._quarantined_until: dict[str, float] = {}
@@ -84,7 +84,7 @@
     def look(self, now: float, wall: float) -> list[Effect]:
         """Check every host and return the commands that stop or throttle its runs."""
         effects: list[Effect] = []
-        for host in list(self.book.hosts.values()):
+        for host in list(self.pool_state.hosts.values()):
             self._copy_late_tasks(host, now)
             effects += self._stop_stalled_runs(host, now)
             effects += self._move_off_slow_host(host, now)
@@ -96,25 +96,25 @@
     def _copy_late_tasks(self, host: Host, now: float) -> None:
         """Request speculative copies of tasks whose runs are late or silent."""
         for run in list(host.runs.values()):
-            step = self.book.step(run.key[0])
+            step = self.pool_state.step(run.key[0])
             if run.state != "running" or step is None or not step.spec.copies:
                 continue
             reason = self._find_copy_reason(host, run, now)
             if reason:
-                self.book.copy(host, run, reason, now)
+                self.pool_state.allow_copy(host, run, reason, now)
 
     def _find_copy_reason(self, host: Host, run: Run, now: float) -> str:
         """Return why a run needs a speculative copy; empty if it needs none."""
         if host.failing and now - host.reported_at > COPY_SILENCE_S:
             return "host does not answer"
-        expected = self.book.speeds.expected(run.queue, run.declared)
-        ratio = self.book.speeds.ratio(run)
+        expected = self.pool_state.speeds.expected(run.queue, run.declared)
+        ratio = self.pool_state.speeds.ratio(run)
         if expected is None:
             return ""
         stalled_s = now - run.moved_at if run.moved_at else 0.0
         if run.progress < 100 and stalled_s > max(COPY_STALL_S, 2 * expected / 100):
             return "no progress"
-        left_s = self.book.speeds.remaining(run, now)
+        left_s = self.pool_state.speeds.remaining(run, now)
         slow = ratio is not None and ratio > COPY_RATIO
         return "slow" if slow and left_s > MIN_COPY_GAIN * expected else ""
 
@@ -125,10 +125,10 @@
         stalled = [run for run in host.runs.values() if self._is_stalled(run, now)]
         effects: list[Effect] = []
         for run in stalled:
-            task = self.book.task(run.key[0])
+            task = self.pool_state.task(run.key[0])
             if task is not None:
                 task.avoid[host.name] = now
-            effects += self.book.stop(host, run, "no progress")
+            effects += self.pool_state.stop(host, run, "no progress")
         if len(stalled) >= QUARANTINE_STALLED_RUNS:
             self._quarantine_host(host, now, QUARANTINE_S, "stalls")
         return effects
@@ -141,8 +141,8 @@
     def _quarantine_host(
         self, host: Host, now: float, seconds: float, reason: str
     ) -> None:
-        resting = sum(1 for h in self.book.hosts.values() if h.resting)
-        max_quarantined = len(self.book.hosts) * MAX_QUARANTINED_FRACTION
+        resting = sum(1 for h in self.pool_state.hosts.values() if h.resting)
+        max_quarantined = len(self.pool_state.hosts) * MAX_QUARANTINED_FRACTION
         if not host.resting and resting + 1 > max_quarantined:
             return
         if not host.resting:
@@ -154,7 +154,7 @@
 
     def _move_off_slow_host(self, host: Host, now: float) -> list[Effect]:
         """Quarantine a slow host, and stop runs that would end sooner elsewhere."""
-        slowness = self.book.speeds.slowness(host)
+        slowness = self.pool_state.speeds.slowness(host)
         if slowness < SLOW_HOST_RATIO or now - host.heard_at > STALL_TIMEOUT_S:
             return []
         self._quarantine_host(
@@ -163,12 +163,12 @@
         effects: list[Effect] = []
         for run in list(host.runs.values()):
             if self._ends_sooner_elsewhere(run, slowness, now):
-                effects += self.book.stop(host, run, "would end sooner elsewhere")
+                effects += self.pool_state.stop(host, run, "would end sooner elsewhere")
         return effects
 
     def _ends_sooner_elsewhere(self, run: Run, slowness: float, now: float) -> bool:
         """Return whether a task would end sooner if it restarted elsewhere."""
-        step = self.book.step(run.key[0])
+        step = self.pool_state.step(run.key[0])
         if run.state != "running" or step is None or step.spec.gang:
             return False
         if step.spec.filler or step.spec.long_running or run.key[1] > MAX_MOVABLE_RUN:
@@ -186,11 +186,13 @@
         left_s = max(0.0, host.leaves_at - now)
         effects: list[Effect] = []
         for run in list(host.runs.values()):
-            step = self.book.step(run.key[0])
+            step = self.pool_state.step(run.key[0])
             if run.state != "running" or step is None:
                 continue
             if self._should_stop_before_leave(run, step, left_s, now):
-                effects += self.book.stop(host, run, "host leaves before the run ends")
+                effects += self.pool_state.stop(
+                    host, run, "host leaves before the run ends"
+                )
         return effects
 
     def _should_stop_before_leave(
@@ -204,7 +206,7 @@
             if step.spec.checkpoints
             else left_s + LEAVE_OVERSTAY_S
         )
-        return self.book.speeds.remaining(run, now) > limit_s
+        return self.pool_state.speeds.remaining(run, now) > limit_s
 
     def _end_quarantine(self, host: Host, now: float) -> None:
         if not host.resting:
@@ -213,7 +215,7 @@
         if now >= until:
             host.resting = False
             del self._quarantined_until[host.name]
-            self.book.health.forget(host.name)
+            self.pool_state.health.forget(host.name)
             log.info("steward: host leaves quarantine", extra={"host": host.name})
 
     def _throttle_best_effort(self, host: Host, now: float) -> list[Effect]:
--- a/siskinroad/work/term.py
+++ b/siskinroad/work/term.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from siskinroad.work.book import Book
 from siskinroad.work.effects import Effect
 from siskinroad.work.hosts import HostLink
 from siskinroad.work.lines import AdviceLines
 from siskinroad.work.model import Timing
+from siskinroad.work.pool_state import PoolState
 from siskinroad.work.store import Store
 from siskinroad.work.workmetrics import WorkMetrics
 
@@ -70,7 +70,7 @@
         self.pool = pool
         self.number = number
         self.parts = parts
-        self.book = Book(pool, number)
+        self.pool_state = PoolState(pool, number)
         self.right_until = -1e9
         self.plan_wanted = asyncio.Event()
         self.flush_wanted = asyncio.Event()
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -323,7 +323,7 @@
             await asyncio.sleep(0.05)
         owner = cell.daemons[old].owners[POOL]
         await cell.submit(old, JOB_ID, job())
-        assert JOB_ID not in owner.book.jobs
+        assert JOB_ID not in owner.pool_state.jobs
         await cell.wait_for_starts(1)
         assert len(cell.hosts.starts()) == 1
 
--- a/tests/work/test_hard_cases.py
+++ b/tests/work/test_hard_cases.py
@@ -78,8 +78,10 @@
         for name in good:
             await cell.wait_for_state(name, "complete")
         owner = cell.daemons[cell.owner()]
-        (book,) = [pool.book for pool in owner.owners.values()]
-        assert not book.hosts["i-1"].resting and not book.hosts["i-2"].resting
+        (pool_state,) = [pool.pool_state for pool in owner.owners.values()]
+        assert (
+            not pool_state.hosts["i-1"].resting and not pool_state.hosts["i-2"].resting
+        )
 
     run_scenario(scenario)
 
--- a/tests/work/test_planner.py
+++ b/tests/work/test_planner.py
@@ -1,36 +1,38 @@
-"""Tests of task placement: priority, objectives, gangs, advice and preemption."""
+"""Tests of task placement: priority, target times, gangs, advice and preemption."""
 
 import pytest
 
-from siskinroad.work.book import Book
 from siskinroad.work.effects import AskAdvice, StartRun, StopRun
 from siskinroad.work.hosts import HostReport
 from siskinroad.work.planner import Planner
+from siskinroad.work.pool_state import PoolState
 from siskinroad.work.records import Accepted
 from tests.work.cell import POOL, SETUP, entry, job, step
 
 
 def make(hosts, **entries):
     """Return the state of a pool whose hosts have replied and can be used."""
-    book = Book(POOL, 1)
-    book.settled = True
-    book.configure(SETUP)
+    pool_state = PoolState(POOL, 1)
+    pool_state.settled = True
+    pool_state.configure(SETUP)
     for name in hosts:
-        book.host_listed(entries.get(name, entry(name)))
-        host = book.hosts[name]
+        pool_state.add_or_update_host(entries.get(name, entry(name)))
+        host = pool_state.hosts[name]
         host.recorded = True
-        book.report(host, HostReport(1000, 1, (), ()), host.token, 0.0, 0.0, 0.0)
-    return book
+        pool_state.apply_report(
+            host, HostReport(1000, 1, (), ()), host.token, 0.0, 0.0, 0.0
+        )
+    return pool_state
 
 
-def add(book, name, spec, queue="fast", at=0.0):
+def add(pool_state, name, spec, queue="fast", at=0.0):
     """Submit a job and return it."""
-    book.accept(Accepted(name, queue, POOL, at, spec), 0.0, at, fresh=True)
-    return book.jobs[name]
+    pool_state.accept(Accepted(name, queue, POOL, at, spec), 0.0, at, is_new=True)
+    return pool_state.jobs[name]
 
 
-def plan(book, now=0.1, wall=0.1):
-    return Planner(book).plan(now, wall)
+def plan(pool_state, now=0.1, wall=0.1):
+    return Planner(pool_state).plan(now, wall)
 
 
 def started(effects):
@@ -47,165 +49,167 @@
 
 
 def test_urgent_steps_are_placed_before_older_steps_of_lower_priority():
-    book = make(["i-0"])
-    add(book, "paper", job(step(1, cpu_milli=20000)), "slow")
-    add(book, "urgent", job(step(1, cpu_milli=20000)), "fast")
-    assert started(plan(book)) == [("urgent", "i-0")]
+    pool_state = make(["i-0"])
+    add(pool_state, "paper", job(step(1, cpu_milli=20000)), "slow")
+    add(pool_state, "urgent", job(step(1, cpu_milli=20000)), "fast")
+    assert started(plan(pool_state)) == [("urgent", "i-0")]
 
 
-def test_steps_past_their_objective_do_not_delay_steps_that_can_meet_theirs():
-    book = make(["i-0"])
-    add(book, "late", job(step(1, cpu_milli=20000)), "fast", at=-5.0)
-    add(book, "young", job(step(1, cpu_milli=20000)), "fast", at=0.0)
-    assert started(plan(book)) == [("young", "i-0")]
+def test_steps_past_their_target_time_do_not_delay_steps_that_can_meet_theirs():
+    pool_state = make(["i-0"])
+    add(pool_state, "late", job(step(1, cpu_milli=20000)), "fast", at=-5.0)
+    add(pool_state, "young", job(step(1, cpu_milli=20000)), "fast", at=0.0)
+    assert started(plan(pool_state)) == [("young", "i-0")]
 
 
 def test_lateness_uses_learned_rather_than_declared_run_times():
     # The tasks of this queue take 2 s, twice their declared time: judged by the
     # declared time, the older job would count as late and lose its place.
-    book = make(["i-0"])
+    pool_state = make(["i-0"])
     for _ in range(20):
-        book.speeds.ended("fast", 1.0, 2.0)
-    add(book, "older", job(step(1, cpu_milli=20000)), "fast", at=-1.6)
-    add(book, "younger", job(step(1, cpu_milli=20000)), "fast", at=0.0)
-    assert started(plan(book)) == [("older", "i-0")]
+        pool_state.speeds.ended("fast", 1.0, 2.0)
+    add(pool_state, "older", job(step(1, cpu_milli=20000)), "fast", at=-1.6)
+    add(pool_state, "younger", job(step(1, cpu_milli=20000)), "fast", at=0.0)
+    assert started(plan(pool_state)) == [("older", "i-0")]
     # 1.5 times 2 s of work, plus 0.4 s.
-    assert book.objective(book.jobs["younger"]) == pytest.approx(3.4, abs=0.2)
+    assert pool_state.target_time(pool_state.jobs["younger"]) == pytest.approx(
+        3.4, abs=0.2
+    )
 
 
-def test_the_objective_includes_an_advice_request_per_step_and_the_due_time():
-    book = make(["i-0"])
+def test_the_target_time_includes_an_advice_request_per_step_and_the_due_time():
+    pool_state = make(["i-0"])
     spec = job(step(), step(after=(0,)), occurrences=3, first=100.0, interval=10.0)
-    timed = add(book, "timed", spec, "advised")
+    timed = add(pool_state, "timed", spec, "advised")
     # Twice 2 s of work and two advice requests of 0.4 s, plus 1.2 s.
-    assert book.objective(timed, 2) == pytest.approx(120.0 + 2 * 2.8 + 1.2)
+    assert pool_state.target_time(timed, 2) == pytest.approx(120.0 + 2 * 2.8 + 1.2)
 
 
 def test_placement_exceeds_no_resource_of_a_host():
-    book = make(["i-0"])
-    add(book, "a", job(step(9, cpu_milli=1000, memory_mib=1, accelerators=3)))
-    assert len(started(plan(book))) == 2
+    pool_state = make(["i-0"])
+    add(pool_state, "a", job(step(9, cpu_milli=1000, memory_mib=1, accelerators=3)))
+    assert len(started(plan(pool_state))) == 2
 
 
 def test_a_step_with_several_allowed_hosts_avoids_the_only_host_of_another():
     # Advice allows one of the steps a single host, and each needs all accelerators.
-    book = make(["i-0", "i-1"])
+    pool_state = make(["i-0", "i-1"])
     need = {"cpu_milli": 1000, "accelerators": 8}
-    free = add(book, "free", job(step(1, **need)), "advised", at=-0.1)
-    bound = add(book, "bound", job(step(1, **need)), "advised")
+    free = add(pool_state, "free", job(step(1, **need)), "advised", at=-0.1)
+    bound = add(pool_state, "bound", job(step(1, **need)), "advised")
     allow(free, "i-0", "i-1")
     allow(bound, "i-0")
-    assert sorted(started(plan(book))) == [("bound", "i-0"), ("free", "i-1")]
+    assert sorted(started(plan(pool_state))) == [("bound", "i-0"), ("free", "i-1")]
 
 
 def test_a_blocked_gang_excludes_later_single_tasks_from_its_hosts():
     # Otherwise single tasks fill every gap before the gang fits.
-    book = make(["i-0", "i-1"])
-    add(book, "first", job(step(1, cpu_milli=30000)), "fast")
-    assert started(plan(book)) == [("first", "i-0")]
-    add(book, "gang", job(step(2, cpu_milli=20000, gang=True)), "fast")
-    add(book, "small", job(step(9, cpu_milli=9000)), "slow")
-    hosts = {host for _, host in started(plan(book, 0.2))}
+    pool_state = make(["i-0", "i-1"])
+    add(pool_state, "first", job(step(1, cpu_milli=30000)), "fast")
+    assert started(plan(pool_state)) == [("first", "i-0")]
+    add(pool_state, "gang", job(step(2, cpu_milli=20000, gang=True)), "fast")
+    add(pool_state, "small", job(step(9, cpu_milli=9000)), "slow")
+    hosts = {host for _, host in started(plan(pool_state, 0.2))}
     assert len(hosts) <= 1
 
 
 def test_advice_is_requested_once_and_renewed_only_for_the_chosen_hosts():
-    book = make(["i-0", "i-1", "i-2"])
-    one = add(book, "one", job(step(1, cpu_milli=30000)), "advised")
-    (ask,) = plan(book)
+    pool_state = make(["i-0", "i-1", "i-2"])
+    one = add(pool_state, "one", job(step(1, cpu_milli=30000)), "advised")
+    (ask,) = plan(pool_state)
     assert isinstance(ask, AskAdvice) and len(ask.hosts) == 3
-    assert plan(book) == []
+    assert plan(pool_state) == []
     one.steps[0, 0].asking = False
     allow(one, "i-1", until=0.2)
-    (again,) = plan(book, now=1.0)
+    (again,) = plan(pool_state, now=1.0)
     assert isinstance(again, AskAdvice) and again.hosts == ("i-1",)
     # The capacity stays reserved for the step until the reply.
-    add(book, "other", job(step(1, cpu_milli=30000)), "fast")
-    assert ("other", "i-1") not in started(plan(book, now=1.1))
+    add(pool_state, "other", job(step(1, cpu_milli=30000)), "fast")
+    assert ("other", "i-1") not in started(plan(pool_state, now=1.1))
 
 
 def test_spread_limits_the_tasks_of_a_step_on_one_host():
-    book = make(["i-0", "i-1"])
-    add(book, "a", job(step(9, cpu_milli=100, spread=2)))
-    hosts = [host for _, host in started(plan(book))]
+    pool_state = make(["i-0", "i-1"])
+    add(pool_state, "a", job(step(9, cpu_milli=100, spread=2)))
+    hosts = [host for _, host in started(plan(pool_state))]
     assert sorted(hosts) == ["i-0", "i-0", "i-1", "i-1"]
 
 
 def test_best_effort_tasks_are_kept_apart_from_serving_tasks():
-    book = make(["i-0", "i-1"])
+    pool_state = make(["i-0", "i-1"])
     serving = step(1, long_running=True, tail_limit=0.2)
-    add(book, "serve", job(serving), "fast")
-    ((_, host),) = started(plan(book))
-    add(book, "fill", job(step(3, filler=True)), "slow")
-    assert host not in {name for _, name in started(plan(book, 0.2))}
+    add(pool_state, "serve", job(serving), "fast")
+    ((_, host),) = started(plan(pool_state))
+    add(pool_state, "fill", job(step(3, filler=True)), "slow")
+    assert host not in {name for _, name in started(plan(pool_state, 0.2))}
 
 
 def test_a_host_without_a_recent_reply_gets_no_tasks():
-    book = make(["i-0"])
-    add(book, "a", job())
-    assert started(plan(book, now=5.0)) == []
+    pool_state = make(["i-0"])
+    add(pool_state, "a", job())
+    assert started(plan(pool_state, now=5.0)) == []
 
 
 def test_a_gang_returns_to_a_host_where_it_failed_if_it_needs_every_host():
     # The gang has as many tasks as hosts: if it avoided the host for good, it would
     # never run.
-    book = make(["i-0", "i-1"])
-    gang = add(book, "g", job(step(2, cpu_milli=30000, gang=True)))
+    pool_state = make(["i-0", "i-1"])
+    gang = add(pool_state, "g", job(step(2, cpu_milli=30000, gang=True)))
     for task in gang.steps[0, 0].tasks:
         task.avoid["i-0"] = 0.0
-    assert started(plan(book, now=0.1)) == []
-    assert len(started(plan(book, now=1.6))) == 2
+    assert started(plan(pool_state, now=0.1)) == []
+    assert len(started(plan(pool_state, now=1.6))) == 2
 
 
 def test_a_task_prefers_a_host_where_it_has_not_failed():
-    book = make(["i-0", "i-1"])
-    one = add(book, "g", job(step(1)))
+    pool_state = make(["i-0", "i-1"])
+    one = add(pool_state, "g", job(step(1)))
     one.steps[0, 0].tasks[0].avoid["i-0"] = -9.0
-    assert started(plan(book)) == [("g", "i-1")]
+    assert started(plan(pool_state)) == [("g", "i-1")]
 
 
 def test_headroom_is_kept_for_bursts_of_urgent_steps():
     # Otherwise tasks of lower priority fill every gap between two bursts.
-    book = make(["i-0", "i-1"])
-    planner = Planner(book)
-    add(book, "burst", job(step(6, cpu_milli=4000)), "fast")
+    pool_state = make(["i-0", "i-1"])
+    planner = Planner(pool_state)
+    add(pool_state, "burst", job(step(6, cpu_milli=4000)), "fast")
     first = started(planner.plan(0.1, 0.1))
     assert len(first) == 6
-    for host in book.hosts.values():
+    for host in pool_state.hosts.values():
         for run in list(host.runs.values()):
             run.move("lapse")
             host.drop(run)
-    add(book, "paper", job(step(40, cpu_milli=2000)), "slow")
+    add(pool_state, "paper", job(step(40, cpu_milli=2000)), "slow")
     planner.plan(1.0, 1.0)
-    add(book, "again", job(step(4, cpu_milli=4000)), "fast")
+    add(pool_state, "again", job(step(4, cpu_milli=4000)), "fast")
     assert len(started(planner.plan(1.1, 1.1))) == 4
 
 
 def test_other_work_may_use_the_whole_pool_without_urgent_demand():
-    book = make(["i-0"])
-    add(book, "paper", job(step(16, cpu_milli=2000)), "slow")
-    assert len(started(plan(book))) == 16
+    pool_state = make(["i-0"])
+    add(pool_state, "paper", job(step(16, cpu_milli=2000)), "slow")
+    assert len(started(plan(pool_state))) == 16
 
 
 def test_runs_with_checkpoints_are_preempted_for_a_large_urgent_step():
     # Single tasks hold one accelerator each, and the urgent task needs all eight.
-    book = make(["i-0"])
+    pool_state = make(["i-0"])
     small = step(8, cpu_milli=1000, accelerators=1, checkpoints=True, estimate=5.0)
-    add(book, "small", job(small), "slow")
-    for effect in plan(book):
-        book.start_answered(book.hosts["i-0"], effect.run, None, 0.2)
-    add(book, "large", job(step(1, cpu_milli=8000, accelerators=8)), "fast")
-    stops = [e for e in plan(book, 0.3, 0.3) if isinstance(e, StopRun)]
+    add(pool_state, "small", job(small), "slow")
+    for effect in plan(pool_state):
+        pool_state.apply_start_reply(pool_state.hosts["i-0"], effect.run, None, 0.2)
+    add(pool_state, "large", job(step(1, cpu_milli=8000, accelerators=8)), "fast")
+    stops = [e for e in plan(pool_state, 0.3, 0.3) if isinstance(e, StopRun)]
     assert len(stops) == 8
-    assert plan(book, 0.4, 0.4) == []
+    assert plan(pool_state, 0.4, 0.4) == []
 
 
 def test_no_run_is_preempted_for_its_own_priority_or_when_nearly_done():
-    book = make(["i-0"])
+    pool_state = make(["i-0"])
     near = step(1, cpu_milli=20000, checkpoints=True, estimate=1.0)
-    add(book, "near", job(near), "slow")
-    (effect,) = plan(book)
-    book.start_answered(book.hosts["i-0"], effect.run, None, 0.2)
-    add(book, "urgent", job(step(1, cpu_milli=20000)), "fast")
-    add(book, "equal", job(step(1, cpu_milli=20000)), "slow")
-    assert plan(book, 0.3, 0.3) == []
+    add(pool_state, "near", job(near), "slow")
+    (effect,) = plan(pool_state)
+    pool_state.apply_start_reply(pool_state.hosts["i-0"], effect.run, None, 0.2)
+    add(pool_state, "urgent", job(step(1, cpu_milli=20000)), "fast")
+    add(pool_state, "equal", job(step(1, cpu_milli=20000)), "slow")
+    assert plan(pool_state, 0.3, 0.3) == []
--- a/tests/work/test_book.py
+++ b/tests/work/test_pool_state.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from siskinroad.work.book import Book
-from siskinroad.work.effects import SettleHost, StartRun, StopRun
+from siskinroad.work.effects import ReconcileHost, StartRun, StopRun
 from siskinroad.work.hosts import Ended, EndKind, HostReport, Rejection, Running
 from siskinroad.work.model import TaskId
 from siskinroad.work.planner import Planner
+from siskinroad.work.pool_state import PoolState
 from siskinroad.work.records import Accepted
 from tests.work.cell import POOL, SETUP, entry, job, step
 
@@ -18,15 +18,15 @@
 
 
 def make_pool_state(spec, hosts=("i-0",), term=1, queue="fast", settled=True):
-    pool_state = Book(POOL, term)
+    pool_state = PoolState(POOL, term)
     pool_state.settled = settled
     pool_state.configure(SETUP)
     for name in hosts:
-        pool_state.host_listed(entry(name))
+        pool_state.add_or_update_host(entry(name))
         pool_state.hosts[name].recorded = True
         if settled:
             send_report(pool_state, name, 0.0)
-    pool_state.accept(Accepted("j", queue, POOL, 0.0, spec), 0.0, 0.0, fresh=settled)
+    pool_state.accept(Accepted("j", queue, POOL, 0.0, spec), 0.0, 0.0, is_new=settled)
     return pool_state
 
 
@@ -34,7 +34,7 @@
     host = pool_state.hosts[name]
     token = host.token if token is None else token
     sent_at = now if sent_at is None else sent_at
-    return pool_state.report(host, report(**fields), token, sent_at, now, now)
+    return pool_state.apply_report(host, report(**fields), token, sent_at, now, now)
 
 
 def plan_starts(pool_state, now=0.1):
@@ -48,7 +48,7 @@
         pool_state.jobs["j"].spec, tuple(pool_state.hosts), 9, settled=False
     )
     next_owner.waiting_for_hosts = set(pool_state.hosts)
-    next_owner.former_lapse_at = 1e9
+    next_owner.former_leases_end_at = 1e9
     next_owner.restore(pool_state.jobs["j"].progress(), 0.0)
     return next_owner
 
@@ -56,7 +56,7 @@
 def test_a_failed_end_listed_again_to_the_next_owner_counts_once():
     pool_state = make_pool_state(job())
     (start,) = plan_starts(pool_state)
-    pool_state.start_answered(pool_state.hosts["i-0"], start.run, None, 0.1)
+    pool_state.apply_start_reply(pool_state.hosts["i-0"], start.run, None, 0.1)
     end = Ended(1, TASK, 1, EndKind.FAILED, "")
     send_report(pool_state, "i-0", 1.0, ended=[end])
     assert pool_state.task(TASK).failed == 1
@@ -68,7 +68,7 @@
 def test_failures_of_two_members_count_as_one_failure_of_the_gang():
     pool_state = make_pool_state(job(step(2, gang=True)), ("i-0", "i-1"))
     for start in plan_starts(pool_state):
-        pool_state.start_answered(pool_state.hosts[start.host], start.run, None, 0.1)
+        pool_state.apply_start_reply(pool_state.hosts[start.host], start.run, None, 0.1)
     ends = [Ended(i + 1, TaskId("j", 0, 0, i), 1, EndKind.FAILED, "") for i in range(2)]
     send_report(pool_state, pool_state.task(TASK).host, 1.0, ended=ends)
     assert [task.failed for task in pool_state.jobs["j"].steps[0, 0].tasks] == [1, 1]
@@ -93,7 +93,9 @@
     (start,) = plan_starts(pool_state)
     host = pool_state.hosts[start.host]
     old_token = host.token
-    assert pool_state.start_unanswered(host, start.run, 0.5) == [SettleHost(host.name)]
+    assert pool_state.note_start_without_reply(host, start.run, 0.5) == [
+        ReconcileHost(host.name)
+    ]
     assert host.token > old_token
     # A report requested under the old token does not prove that the run is absent.
     send_report(pool_state, host.name, 0.6, token=old_token)
@@ -107,7 +109,7 @@
     pool_state = make_pool_state(job())
     (start,) = plan_starts(pool_state)
     host = pool_state.hosts["i-0"]
-    pool_state.start_unanswered(host, start.run, 0.5)
+    pool_state.note_start_without_reply(host, start.run, 0.5)
     send_report(pool_state, "i-0", 0.6, running=[Running(TASK, 1, "", 5, 0)])
     assert start.run.state == "running"
     assert not plan_starts(pool_state, 0.7)
@@ -116,7 +118,7 @@
 def test_a_report_requested_before_the_start_s_reply_does_not_end_the_run():
     pool_state = make_pool_state(job())
     (start,) = plan_starts(pool_state)
-    pool_state.start_answered(pool_state.hosts["i-0"], start.run, None, 0.5)
+    pool_state.apply_start_reply(pool_state.hosts["i-0"], start.run, None, 0.5)
     send_report(pool_state, "i-0", 0.6, sent_at=0.4)
     assert start.run.state == "running"
     send_report(pool_state, "i-0", 1.6, sent_at=0.7)
@@ -127,7 +129,7 @@
 def test_the_task_of_a_rejected_start_may_be_placed_again(rejection):
     pool_state = make_pool_state(job())
     (start,) = plan_starts(pool_state)
-    pool_state.start_answered(pool_state.hosts["i-0"], start.run, rejection, 0.2)
+    pool_state.apply_start_reply(pool_state.hosts["i-0"], start.run, rejection, 0.2)
     assert pool_state.task(TASK).state == "waiting"
     assert pool_state.hosts["i-0"].used.cpu_milli == 0
 
@@ -139,7 +141,7 @@
     send_report(pool_state, "i-1", 0.1)
     assert not pool_state.settle_tasks(0.2)
     assert not plan_starts(pool_state, 0.3)
-    pool_state.former_gone(4.0)
+    pool_state.note_former_owner_dead(4.0)
     assert not pool_state.settle_tasks(3.9)
     assert pool_state.settle_tasks(4.1)
 
@@ -172,17 +174,17 @@
     (start,) = plan_starts(pool_state)
     host = pool_state.hosts[start.host]
     host.granted(0.1)
-    pool_state.start_answered(host, start.run, None, 0.2)
-    pool_state.lapse_silent(4.0)
+    pool_state.apply_start_reply(host, start.run, None, 0.2)
+    pool_state.expire_silent_hosts(4.0)
     assert pool_state.task(TASK).state == "placed"
-    pool_state.lapse_silent(host.lapse_at + 0.01)
+    pool_state.expire_silent_hosts(host.lapse_at + 0.01)
     assert pool_state.task(TASK).state == "waiting"
 
 
 def test_a_run_just_adopted_by_a_new_owner_does_not_expire_at_once():
     pool_state = make_pool_state(job(), ("i-0",), settled=False)
     send_report(pool_state, "i-0", 5.0, running=[Running(TASK, 1, "", 50, 0)])
-    pool_state.lapse_silent(5.01)
+    pool_state.expire_silent_hosts(5.01)
     assert pool_state.task(TASK).state == "placed"
     assert pool_state.hosts["i-0"].lapse_at > 9.0
 
@@ -191,7 +193,7 @@
     # Two ends that the former owner did not store; the later one is listed first.
     pool_state = make_pool_state(job(), ("i-0", "i-1"), settled=False)
     pool_state.waiting_for_hosts = {"i-0", "i-1"}
-    pool_state.former_lapse_at = 1e9
+    pool_state.former_leases_end_at = 1e9
     send_report(pool_state, "i-1", 0.1, ended=[Ended(1, TASK, 3, EndKind.FAILED, "")])
     send_report(pool_state, "i-0", 0.2, ended=[Ended(1, TASK, 2, EndKind.FAILED, "")])
     assert pool_state.task(TASK).failed == 2
@@ -230,7 +232,7 @@
     host, run = start_and_cancel(pool_state)
     send_report(pool_state, "i-0", 0.4, sent_at=0.3)
     assert host.used.cpu_milli == 4000
-    pool_state.start_answered(host, run, None, 0.5)
+    pool_state.apply_start_reply(host, run, None, 0.5)
     assert run.state == "stopping"
     send_report(
         pool_state,
@@ -246,7 +248,7 @@
     pool_state = make_pool_state(job())
     host, run = start_and_cancel(pool_state)
     assert not pool_state.may_send(host, run)
-    pool_state.start_dropped(host, run, 0.3)
+    pool_state.drop_start(host, run, 0.3)
     assert host.used.cpu_milli == 0
     assert pool_state.task(TASK).state == "abandoned"
 
@@ -254,7 +256,7 @@
 def test_a_withdrawn_start_without_a_reply_is_stopped_once_it_is_listed():
     pool_state = make_pool_state(job())
     host, run = start_and_cancel(pool_state)
-    pool_state.start_unanswered(host, run, 0.3)
+    pool_state.note_start_without_reply(host, run, 0.3)
     effects = send_report(pool_state, "i-0", 0.5, running=[Running(TASK, 1, "", 10, 0)])
     assert [e.run for e in effects if isinstance(e, StopRun)] == [run]
 
@@ -264,6 +266,6 @@
     (start,) = plan_starts(pool_state)
     host = pool_state.hosts["i-0"]
     assert pool_state.may_send(host, start.run)
-    pool_state.lapse_silent(1e9)
+    pool_state.expire_silent_hosts(1e9)
     assert not pool_state.may_send(host, start.run)
-    assert pool_state.start_dropped(host, start.run, 1e9) == []
+    assert pool_state.drop_start(host, start.run, 1e9) == []
--- a/tests/work/test_steward.py
+++ b/tests/work/test_steward.py
@@ -13,30 +13,32 @@
 TIMING = Timing(stop_grace=0.2)
 
 
-def report_host(book, host, now, running=(), ended=()):
+def report_host(pool_state, host, now, running=(), ended=()):
     """Apply a report of a host and return the effects."""
-    found = book.hosts[host]
+    found = pool_state.hosts[host]
     report = HostReport(int(now * 1000), 1, tuple(running), tuple(ended))
-    return book.report(found, report, found.token, now - 0.001, now, now)
+    return pool_state.apply_report(found, report, found.token, now - 0.001, now, now)
 
 
-def start_waiting(book, now):
+def start_waiting(pool_state, now):
     """Start every task that fits, each confirmed at once; return the starts."""
-    starts = [e for e in Planner(book).plan(now, now) if isinstance(e, StartRun)]
+    starts = [e for e in Planner(pool_state).plan(now, now) if isinstance(e, StartRun)]
     for effect in starts:
-        book.start_answered(book.hosts[effect.host], effect.run, None, now)
+        pool_state.apply_start_reply(
+            pool_state.hosts[effect.host], effect.run, None, now
+        )
     return starts
 
 
-def learn_run_time(book, now=0.1, seconds=0.9):
+def learn_run_time(pool_state, now=0.1, seconds=0.9):
     """Let ten tasks with a declared time of 1 s end after ``seconds``."""
-    add(book, "taught", job(step(10, cpu_milli=100, estimate=1.0)), "fast")
+    add(pool_state, "taught", job(step(10, cpu_milli=100, estimate=1.0)), "fast")
     ends = {}
-    for i, effect in enumerate(start_waiting(book, now)):
+    for i, effect in enumerate(start_waiting(pool_state, now)):
         end = Ended(i + 1, *effect.run.key, EndKind.DONE, "")
         ends.setdefault(effect.host, []).append(end)
     for host, ended in ends.items():
-        report_host(book, host, now + seconds, ended=ended)
+        report_host(pool_state, host, now + seconds, ended=ended)
 
 
 def running_row(effect, percent, usage=0):
@@ -44,185 +46,197 @@
     return Running(*effect.run.key, "", percent, usage)
 
 
-def start_three_jobs(book, now, estimate=1.0):
+def start_three_jobs(pool_state, now, estimate=1.0):
     """Start one task of each of three jobs on one host; return the starts."""
     for name in ("j", "k", "l"):
-        add(book, name, job(step(1, estimate=estimate)), "fast")
-    begun = start_waiting(book, now)
+        add(pool_state, name, job(step(1, estimate=estimate)), "fast")
+    begun = start_waiting(pool_state, now)
     assert len({effect.host for effect in begun}) == 1
     return begun
 
 
-def report_all(book, now, begun, percent):
+def report_all(pool_state, now, begun, percent):
     """Let every host report its started runs at the same progress."""
-    for name in book.hosts:
+    for name in pool_state.hosts:
         here = [running_row(effect, percent) for effect in begun if effect.host == name]
-        report_host(book, name, now, here)
+        report_host(pool_state, name, now, here)
 
 
 def test_a_slow_host_is_quarantined_and_its_tasks_move_if_they_end_sooner():
     # The host has become about six times slower than the others.
-    book = make(["i-0", "i-1", "i-2"])
-    learn_run_time(book)
-    begun = start_three_jobs(book, 1.1)
-    report_all(book, 1.9, begun, 12)
-    effects = Steward(book, TIMING).look(1.9, 1.9)
+    pool_state = make(["i-0", "i-1", "i-2"])
+    learn_run_time(pool_state)
+    begun = start_three_jobs(pool_state, 1.1)
+    report_all(pool_state, 1.9, begun, 12)
+    effects = Steward(pool_state, TIMING).look(1.9, 1.9)
     stopped = [e.run for e in effects if isinstance(e, StopRun)]
     assert stopped == [effect.run for effect in begun]
-    assert book.hosts[begun[0].host].resting
+    assert pool_state.hosts[begun[0].host].resting
 
 
 def test_hosts_of_normal_speed_are_not_quarantined():
-    book = make(["i-0", "i-1", "i-2"])
-    learn_run_time(book)
-    report_all(book, 1.9, start_three_jobs(book, 1.1), 55)
-    assert Steward(book, TIMING).look(1.9, 1.9) == []
-    assert not any(host.resting for host in book.hosts.values())
+    pool_state = make(["i-0", "i-1", "i-2"])
+    learn_run_time(pool_state)
+    report_all(pool_state, 1.9, start_three_jobs(pool_state, 1.1), 55)
+    assert Steward(pool_state, TIMING).look(1.9, 1.9) == []
+    assert not any(host.resting for host in pool_state.hosts.values())
 
 
 def test_a_wrong_declared_time_of_a_queue_makes_no_host_slow():
-    book = make(["i-0", "i-1", "i-2"])
-    learn_run_time(book, seconds=4.9)
-    report_all(book, 7.9, start_three_jobs(book, 5.1), 55)
-    assert Steward(book, TIMING).look(7.9, 7.9) == []
+    pool_state = make(["i-0", "i-1", "i-2"])
+    learn_run_time(pool_state, seconds=4.9)
+    report_all(pool_state, 7.9, start_three_jobs(pool_state, 5.1), 55)
+    assert Steward(pool_state, TIMING).look(7.9, 7.9) == []
 
 
 def test_a_wrong_declared_time_of_one_job_makes_no_host_slow():
-    book = make(["i-0", "i-1", "i-2"])
-    learn_run_time(book)
-    add(book, "j", job(step(2, estimate=1.0)), "fast")
-    report_all(book, 1.9, start_waiting(book, 1.1), 12)
-    assert Steward(book, TIMING).look(1.9, 1.9) == []
+    pool_state = make(["i-0", "i-1", "i-2"])
+    learn_run_time(pool_state)
+    add(pool_state, "j", job(step(2, estimate=1.0)), "fast")
+    report_all(pool_state, 1.9, start_waiting(pool_state, 1.1), 12)
+    assert Steward(pool_state, TIMING).look(1.9, 1.9) == []
 
 
 def test_runs_that_have_just_begun_make_no_host_slow():
     # The host reports the runs without progress, and then nothing for 0.85 s.
-    book = make(["i-0", "i-1", "i-2"])
-    learn_run_time(book)
-    begun = start_three_jobs(book, 1.1)
-    report_all(book, 1.15, begun, 0)
-    assert Steward(book, TIMING).look(2.0, 2.0) == []
+    pool_state = make(["i-0", "i-1", "i-2"])
+    learn_run_time(pool_state)
+    begun = start_three_jobs(pool_state, 1.1)
+    report_all(pool_state, 1.15, begun, 0)
+    assert Steward(pool_state, TIMING).look(2.0, 2.0) == []
 
 
 def test_a_stalled_run_is_stopped_and_resumes_on_another_host():
-    book = make(["i-0", "i-1", "i-2"])
-    add(book, "j", job(step(1)), "slow")
-    (begun,) = start_waiting(book, 0.1)
+    pool_state = make(["i-0", "i-1", "i-2"])
+    add(pool_state, "j", job(step(1)), "slow")
+    (begun,) = start_waiting(pool_state, 0.1)
     for now in (0.5, 1.5, 2.5, 3.5):
-        for name in book.hosts:
+        for name in pool_state.hosts:
             report_host(
-                book, name, now, [running_row(begun, 5)] if name == begun.host else []
+                pool_state,
+                name,
+                now,
+                [running_row(begun, 5)] if name == begun.host else [],
             )
-    (stop,) = Steward(book, TIMING).look(3.5, 3.5)
+    (stop,) = Steward(pool_state, TIMING).look(3.5, 3.5)
     end = Ended(1, *begun.run.key, EndKind.STOPPED, "ck")
-    report_host(book, begun.host, 3.6, ended=[end])
-    (restart,) = start_waiting(book, 3.7)
+    report_host(pool_state, begun.host, 3.6, ended=[end])
+    (restart,) = start_waiting(pool_state, 3.7)
     assert stop.run is begun.run and restart.host != begun.host
     assert restart.checkpoint == "ck"
 
 
 def test_best_effort_tasks_are_throttled_before_a_tail_reaches_its_bound():
-    book = make(["i-0"])
-    add(book, "s", job(step(1, long_running=True, tail_limit=0.1)), "fast")
-    (serving,) = start_waiting(book, 0.1)
-    add(book, "f", job(step(1, filler=True)), "slow")
-    (filler,) = start_waiting(book, 0.2)
-    steward = Steward(book, TIMING)
+    pool_state = make(["i-0"])
+    add(pool_state, "s", job(step(1, long_running=True, tail_limit=0.1)), "fast")
+    (serving,) = start_waiting(pool_state, 0.1)
+    add(pool_state, "f", job(step(1, filler=True)), "slow")
+    (filler,) = start_waiting(pool_state, 0.2)
+    steward = Steward(pool_state, TIMING)
     report_host(
-        book, "i-0", 1.0, [running_row(serving, 100, 80), running_row(filler, 10, 4000)]
+        pool_state,
+        "i-0",
+        1.0,
+        [running_row(serving, 100, 80), running_row(filler, 10, 4000)],
     )
     (slower,) = steward.look(1.0, 1.0)
     assert isinstance(slower, PaceRun) and slower.percent < 100
     report_host(
-        book, "i-0", 2.0, [running_row(serving, 100, 30), running_row(filler, 12, 400)]
+        pool_state,
+        "i-0",
+        2.0,
+        [running_row(serving, 100, 30), running_row(filler, 12, 400)],
     )
     (faster,) = steward.look(2.0, 2.0)
     assert faster.percent > slower.percent
 
 
-def start_copyable_task(book, now):
+def start_copyable_task(pool_state, now):
     """Start one task whose step allows copies; return its host and its start."""
-    learn_run_time(book)
-    add(book, "c", job(step(1, estimate=1.0, copies=True)), "fast")
-    (begun,) = start_waiting(book, now)
-    return book.hosts[begun.host], begun
+    learn_run_time(pool_state)
+    add(pool_state, "c", job(step(1, estimate=1.0, copies=True)), "fast")
+    (begun,) = start_waiting(pool_state, now)
+    return pool_state.hosts[begun.host], begun
 
 
-def report_progress(book, begun, now, percent):
+def report_progress(pool_state, begun, now, percent):
     """Let every host report; the host of the task reports its progress."""
-    for name in book.hosts:
+    for name in pool_state.hosts:
         rows = [running_row(begun, percent)] if name == begun.host else []
-        report_host(book, name, now, rows)
+        report_host(pool_state, name, now, rows)
 
 
 def test_a_task_on_a_silent_host_is_copied_before_the_lease_expires():
     # The host is cut off or has lost power.
-    book = make(["i-0", "i-1"])
-    host, begun = start_copyable_task(book, 2.0)
-    report_progress(book, begun, 2.1, 10)
+    pool_state = make(["i-0", "i-1"])
+    host, begun = start_copyable_task(pool_state, 2.0)
+    report_progress(pool_state, begun, 2.1, 10)
     host.heard_at = 0.0
-    Steward(book, TIMING).look(2.5, 2.5)
-    assert start_waiting(book, 2.5) == []
-    Steward(book, TIMING).look(2.9, 2.9)
-    (copy_start,) = start_waiting(book, 2.9)
+    Steward(pool_state, TIMING).look(2.5, 2.5)
+    assert start_waiting(pool_state, 2.5) == []
+    Steward(pool_state, TIMING).look(2.9, 2.9)
+    (copy_start,) = start_waiting(pool_state, 2.9)
     assert copy_start.host != host.name and copy_start.run.key[1] == 2
 
 
 def test_a_slow_task_is_copied_once_and_the_first_end_counts():
     # The host has become four times slower while the task runs.
-    book = make(["i-0", "i-1"])
-    host, begun = start_copyable_task(book, 2.0)
-    report_progress(book, begun, 2.8, 20)
-    steward = Steward(book, TIMING)
+    pool_state = make(["i-0", "i-1"])
+    host, begun = start_copyable_task(pool_state, 2.0)
+    report_progress(pool_state, begun, 2.8, 20)
+    steward = Steward(pool_state, TIMING)
     steward.look(2.85, 2.85)
-    (copy_start,) = start_waiting(book, 2.9)
+    (copy_start,) = start_waiting(pool_state, 2.9)
     assert copy_start.host != host.name
     steward.look(3.1, 3.1)
-    assert start_waiting(book, 3.1) == []
+    assert start_waiting(pool_state, 3.1) == []
     end = Ended(99, *copy_start.run.key, EndKind.DONE, "")
-    effects = report_host(book, copy_start.host, 3.9, ended=[end])
+    effects = report_host(pool_state, copy_start.host, 3.9, ended=[end])
     stops = [e for e in effects if isinstance(e, StopRun)]
     assert [(e.host, e.run) for e in stops] == [(host.name, begun.run)]
-    assert book.jobs["c"].outcome == "complete"
+    assert pool_state.jobs["c"].outcome == "complete"
 
 
 def test_the_speculative_copy_is_stopped_when_the_first_run_ends():
-    book = make(["i-0", "i-1"])
-    host, begun = start_copyable_task(book, 2.0)
-    report_progress(book, begun, 2.8, 20)
-    Steward(book, TIMING).look(2.85, 2.85)
-    (copy_start,) = start_waiting(book, 2.9)
+    pool_state = make(["i-0", "i-1"])
+    host, begun = start_copyable_task(pool_state, 2.0)
+    report_progress(pool_state, begun, 2.8, 20)
+    Steward(pool_state, TIMING).look(2.85, 2.85)
+    (copy_start,) = start_waiting(pool_state, 2.9)
     end = Ended(99, *begun.run.key, EndKind.DONE, "")
-    effects = report_host(book, host.name, 3.3, ended=[end])
+    effects = report_host(pool_state, host.name, 3.3, ended=[end])
     assert [e.run for e in effects if isinstance(e, StopRun)] == [copy_start.run]
-    assert book.jobs["c"].outcome == "complete"
+    assert pool_state.jobs["c"].outcome == "complete"
 
 
 def test_tasks_whose_step_allows_no_copies_are_never_copied():
-    book = make(["i-0", "i-1"])
-    learn_run_time(book)
-    add(book, "c", job(step(1, estimate=1.0)), "fast")
-    (begun,) = start_waiting(book, 2.0)
-    host = book.hosts[begun.host]
-    report_progress(book, begun, 2.8, 20)
+    pool_state = make(["i-0", "i-1"])
+    learn_run_time(pool_state)
+    add(pool_state, "c", job(step(1, estimate=1.0)), "fast")
+    (begun,) = start_waiting(pool_state, 2.0)
+    host = pool_state.hosts[begun.host]
+    report_progress(pool_state, begun, 2.8, 20)
     host.heard_at = 0.0
-    Steward(book, TIMING).look(3.9, 3.9)
-    assert start_waiting(book, 3.9) == []
+    Steward(pool_state, TIMING).look(3.9, 3.9)
+    assert start_waiting(pool_state, 3.9) == []
 
 
 def test_each_failed_run_of_a_copied_task_counts_once():
-    book = make(["i-0", "i-1"])
-    host, begun = start_copyable_task(book, 2.0)
-    report_progress(book, begun, 2.8, 20)
-    Steward(book, TIMING).look(2.85, 2.85)
-    (copy_start,) = start_waiting(book, 2.9)
+    pool_state = make(["i-0", "i-1"])
+    host, begun = start_copyable_task(pool_state, 2.0)
+    report_progress(pool_state, begun, 2.8, 20)
+    Steward(pool_state, TIMING).look(2.85, 2.85)
+    (copy_start,) = start_waiting(pool_state, 2.9)
     report_host(
-        book, host.name, 3.2, ended=[Ended(99, *begun.run.key, EndKind.FAILED, "")]
+        pool_state,
+        host.name,
+        3.2,
+        ended=[Ended(99, *begun.run.key, EndKind.FAILED, "")],
     )
-    task = book.task(begun.run.key[0])
+    task = pool_state.task(begun.run.key[0])
     assert (task.failed, task.state, task.older) == (1, "placed", "")
     report_host(
-        book,
+        pool_state,
         copy_start.host,
         3.3,
         ended=[Ended(99, *copy_start.run.key, EndKind.FAILED, "")],
@@ -230,43 +244,43 @@
     assert (task.failed, task.state) == (2, "waiting")
 
 
-def drain_host(book, host, stays, now):
+def drain_host(pool_state, host, stays, now):
     """Let a host drain and return the jobs whose runs the monitor stops."""
-    found = book.hosts[host]
+    found = pool_state.hosts[host]
     gone = dataclasses.replace(found.entry, draining=True, stays=stays)
-    book.host_listed(gone, now)
-    effects = Steward(book, TIMING).look(now, now)
+    pool_state.add_or_update_host(gone, now)
+    effects = Steward(pool_state, TIMING).look(now, now)
     return [e.run.key[0].job for e in effects if isinstance(e, StopRun)]
 
 
 def test_runs_that_will_not_end_before_their_host_leaves_are_stopped():
     # The host is drained and leaves after 2.5 s.
-    book = make(["i-0"])
-    learn_run_time(book)
-    add(book, "saves", job(step(1, estimate=4.0, checkpoints=True)), "slow")
-    add(book, "lasts", job(step(1, long_running=True)), "slow")
-    add(book, "plain", job(step(1, estimate=9.0)), "slow")
-    add(book, "short", job(step(1, estimate=1.0)), "slow")
-    begun = start_waiting(book, 2.0)
-    report_host(book, "i-0", 2.3, [running_row(effect, 10) for effect in begun])
-    assert sorted(drain_host(book, "i-0", 2.5, 2.4)) == ["plain", "saves"]
+    pool_state = make(["i-0"])
+    learn_run_time(pool_state)
+    add(pool_state, "saves", job(step(1, estimate=4.0, checkpoints=True)), "slow")
+    add(pool_state, "lasts", job(step(1, long_running=True)), "slow")
+    add(pool_state, "plain", job(step(1, estimate=9.0)), "slow")
+    add(pool_state, "short", job(step(1, estimate=1.0)), "slow")
+    begun = start_waiting(pool_state, 2.0)
+    report_host(pool_state, "i-0", 2.3, [running_row(effect, 10) for effect in begun])
+    assert sorted(drain_host(pool_state, "i-0", 2.5, 2.4)) == ["plain", "saves"]
     # Long-running tasks work until just before the host leaves.
     lasting = [running_row(e, 100) for e in begun if e.run.key[0].job == "lasts"]
-    report_host(book, "i-0", 4.4, lasting)
-    assert drain_host(book, "i-0", 2.5, 4.5) == ["lasts"]
+    report_host(pool_state, "i-0", 4.4, lasting)
+    assert drain_host(pool_state, "i-0", 2.5, 4.5) == ["lasts"]
 
 
 def test_runs_that_end_before_their_host_leaves_are_not_stopped():
-    book = make(["i-0"])
-    report_host(book, "i-0", 1.9)
-    add(book, "saves", job(step(1, estimate=2.0, checkpoints=True)), "slow")
-    (begun,) = start_waiting(book, 2.0)
-    report_host(book, "i-0", 2.3, [running_row(begun, 15)])
-    assert drain_host(book, "i-0", 2.5, 2.4) == []
+    pool_state = make(["i-0"])
+    report_host(pool_state, "i-0", 1.9)
+    add(pool_state, "saves", job(step(1, estimate=2.0, checkpoints=True)), "slow")
+    (begun,) = start_waiting(pool_state, 2.0)
+    report_host(pool_state, "i-0", 2.3, [running_row(begun, 15)])
+    assert drain_host(pool_state, "i-0", 2.5, 2.4) == []
 
 
 def test_a_repeated_listing_of_a_draining_host_does_not_postpone_its_leave():
-    book = make(["i-0"])
+    pool_state = make(["i-0"])
     for now in (1.0, 2.0):
-        drain_host(book, "i-0", 2.5, now)
-    assert book.hosts["i-0"].leaves_at == 3.5
+        drain_host(pool_state, "i-0", 2.5, now)
+    assert pool_state.hosts["i-0"].leaves_at == 3.5
