--- a/siskinroad/work/advice.py
+++ b/siskinroad/work/advice.py
@@ -5,11 +5,11 @@
 from abc import ABC, abstractmethod
 from dataclasses import dataclass
 
-__all__ = ["Advised", "Advisor"]
+__all__ = ["AdviceResult", "Advisor"]
 
 
 @dataclass(slots=True, frozen=True)
-class Advised:
+class AdviceResult:
     """The hosts that a step may use, with a ticket for each.
 
     Attributes
@@ -30,7 +30,7 @@
     @abstractmethod
     async def advise(
         self, job: str, occurrence: int, step: int, hosts: list[str], timeout: float
-    ) -> Advised:
+    ) -> AdviceResult:
         """Return tickets for those of ``hosts`` that the step may use.
 
         Raises
--- a/siskinroad/work/asking.py
+++ b/siskinroad/work/advice_requester.py
@@ -14,14 +14,14 @@
 
 from collections.abc import Iterable
 
-from siskinroad.work.effects import AskAdvice
+from siskinroad.work.effects import RequestAdvice
 from siskinroad.work.host import Host
 from siskinroad.work.job import StepRun
 from siskinroad.work.model import Advice, Queue
 from siskinroad.work.plan import Plan, Trial, can_hold
 from siskinroad.work.pool_state import PoolState
 
-__all__ = ["Asker"]
+__all__ = ["AdviceRequester"]
 
 # Seconds before its expiry from which a ticket is no longer used. With a smaller
 # margin, it may expire while the start command travels between two regions or waits
@@ -41,7 +41,7 @@
 MAX_EARLY_RENEWALS = 3
 
 
-class Asker:
+class AdviceRequester:
     """Decides when to request advice, and about which hosts.
 
     Parameters
@@ -55,24 +55,24 @@
 
     def is_advised(self, plan: Plan, step: StepRun, advice: Advice) -> bool:
         """Return whether the allowed hosts are known; request advice if not."""
-        if step.asking:
+        if step.is_advice_pending:
             return bool(step.tickets)
-        unknown = [h for h in plan.hosts if h.name not in step.asked]
+        unknown = [h for h in plan.hosts if h.name not in step.asked_hosts]
         eligible = [h.name for h in unknown if can_hold(h, step)]
         if not eligible:
             return bool(step.tickets)
-        if step.asked and any(h.name in step.tickets for h in plan.hosts):
+        if step.asked_hosts and any(h.name in step.tickets for h in plan.hosts):
             return True
         self._request_advice(plan, step, advice, eligible[:MAX_HOSTS_PER_CALL])
         return False
 
-    def without_ticket(
+    def hosts_with_stale_tickets(
         self, step: StepRun, hosts: Iterable[Host], at: float
     ) -> list[Host]:
         """Return the hosts whose tickets can no longer be used at loop time ``at``."""
         return [h for h in hosts if step.tickets[h.name][1] - TICKET_MARGIN <= at]
 
-    def renew(
+    def reserve_and_renew(
         self,
         plan: Plan,
         step: StepRun,
@@ -86,20 +86,20 @@
         for host in hosts:
             capacity = step.spec.need.times(placement.counts[host.name])
             host.reserved[step.key] = (capacity, until)
-        if not step.asking:
+        if not step.is_advice_pending:
             self._request_advice(plan, step, advice, names)
 
-    def renew_ahead(self, plan: Plan, step: StepRun, advice: Advice) -> None:
+    def renew_early(self, plan: Plan, step: StepRun, advice: Advice) -> None:
         """Request new tickets so that they arrive when the capacity becomes free."""
-        if step.asking or plan.renewed >= MAX_EARLY_RENEWALS:
+        if step.is_advice_pending or plan.renewed_steps >= MAX_EARLY_RENEWALS:
             return
         hosts, at = self._next_capacity(plan, step)
-        stale = self.without_ticket(step, hosts, at)
+        stale = self.hosts_with_stale_tickets(step, hosts, at)
         if not stale:
             return
         names = self._add_spare_hosts(step, stale)
         if at - plan.now <= advice.duration(len(names)) + EARLY_REQUEST_MARGIN:
-            plan.renewed += 1
+            plan.renewed_steps += 1
             self._request_advice(plan, step, advice, names)
 
     def _next_capacity(self, plan: Plan, step: StepRun) -> tuple[list[Host], float]:
@@ -140,7 +140,7 @@
             at = end
         return times
 
-    def look_ahead(self, plan: Plan) -> None:
+    def request_for_next_steps(self, plan: Plan) -> None:
         """Request advice for steps that become ready when the running ones end."""
         for step in list(self.pool_state.ready.values()):
             queue = self.pool_state.queues.get(step.job.queue)
@@ -154,7 +154,7 @@
         self, plan: Plan, step: StepRun, queue: Queue, advice: Advice
     ) -> None:
         """Request advice for a step if all steps that it waits for are about to end."""
-        if step.asking or step.asked:
+        if step.is_advice_pending or step.asked_hosts:
             return
         predecessors = [step.job.steps[step.occurrence, i] for i in step.spec.after]
         eligible = [h.name for h in plan.hosts if can_hold(h, step)][
@@ -198,7 +198,7 @@
         """Request advice, unless the channels are busy; then a later plan does."""
         hosts = tuple(names)
         duration = advice.duration(len(hosts))
-        if plan.lines is not None and not plan.lines.take(duration):
+        if plan.channels is not None and not plan.channels.assign(duration):
             return
-        step.asking = True
-        plan.effects.append(AskAdvice(step.key, hosts, duration))
+        step.is_advice_pending = True
+        plan.effects.append(RequestAdvice(step.key, hosts, duration))
--- a/siskinroad/work/lines.py
+++ b/siskinroad/work/advisor_channels.py
@@ -19,11 +19,11 @@
 from collections.abc import Callable
 
 from siskinroad.errors import OutcomeUnknownError, SiskinroadError
-from siskinroad.work.advice import Advised, Advisor
+from siskinroad.work.advice import AdviceResult, Advisor
 from siskinroad.work.calls import Calls
 from siskinroad.work.messages import AdviceReply, AdviceRequest
 
-__all__ = ["AdviceLines", "LineTimes"]
+__all__ = ["AdvisorChannels", "ChannelTimes"]
 
 # Expected duration in seconds from which an advisor call counts as long and
 # goes to a channel for long calls.
@@ -39,10 +39,10 @@
 # plans a second are made, so a call that is refused soon gets another chance.
 MAX_CHANNEL_BACKLOG = 0.25
 
-log = logging.getLogger("siskinroad.lines")
+log = logging.getLogger("siskinroad.advisor_channels")
 
 
-class LineTimes:
+class ChannelTimes:
     """Time until each channel is free, updated as one plan assigns calls.
 
     Parameters
@@ -58,7 +58,7 @@
         self._short = short
         self._long = long
 
-    def take(self, duration: float) -> bool:
+    def assign(self, duration: float) -> bool:
         """Assign a call of ``duration`` seconds to a channel if one is free.
 
         Return whether the call may be made. A channel with a backlog of at most
@@ -75,7 +75,7 @@
         return True
 
 
-class AdviceLines:
+class AdvisorChannels:
     """Client of the advisor that distributes calls over the daemons' channels.
 
     Parameters
@@ -111,15 +111,15 @@
         """Return the backlog of this daemon's own channel in seconds."""
         return max(0.0, self._own_channel_free_at - now)
 
-    def heard(self, channel: str, backlog: float, now: float) -> None:
+    def record_backlog(self, channel: str, backlog: float, now: float) -> None:
         """Record the backlog in seconds, from all owners, of a peer's channel."""
         self._channel_free_at[channel] = max(
             self._channel_free_at.get(channel, 0.0), now + backlog
         )
 
-    async def ask(
+    async def request_advice(
         self, step: tuple[str, int, int], hosts: tuple[str, ...], duration: float
-    ) -> Advised:
+    ) -> AdviceResult:
         """Request advice through the channel that is expected to be free first.
 
         Parameters
@@ -143,7 +143,7 @@
         self._channel_free_at[channel] = start + duration
         timeout = start - now + duration * TIMEOUT_FACTOR + TIMEOUT_MARGIN
         try:
-            advised = await self._request_through(
+            result = await self._request_through(
                 channel, step, hosts, duration, timeout
             )
         except SiskinroadError as exc:
@@ -151,27 +151,27 @@
             # recovers.
             self._channel_free_at[channel] = loop.time() + timeout
             log.warning(
-                "lines: advisor call failed",
+                "advisor_channels: advisor call failed",
                 extra={"request": step[0], "line": channel, "error": str(exc)},
             )
             raise
         log.info(
-            "lines: advice received",
+            "advisor_channels: advice received",
             extra={
                 "request": step[0],
                 "line": channel,
                 "asked": len(hosts),
-                "allowed": len(advised.tickets),
+                "allowed": len(result.tickets),
                 "took_s": round(loop.time() - now, 3),
                 "expected_s": round(duration, 3),
             },
         )
-        return advised
+        return result
 
-    def times(self, now: float) -> LineTimes:
+    def channel_times(self, now: float) -> ChannelTimes:
         """Return the time until each channel is free, for one plan."""
         short, long = self._split_channels()
-        return LineTimes(
+        return ChannelTimes(
             [self._channel_free_at.get(n, 0.0) - now for n in short],
             [self._channel_free_at.get(n, 0.0) - now for n in long],
         )
@@ -195,7 +195,7 @@
         hosts: tuple[str, ...],
         duration: float,
         timeout: float,
-    ) -> Advised:
+    ) -> AdviceResult:
         job, occurrence, step_number = step
         if channel == self._node:
             return await self._call_advisor(
@@ -213,7 +213,7 @@
             raise OutcomeUnknownError(
                 "peer's advisor call failed", step="lines", peer=channel
             )
-        return Advised(reply.tickets, reply.valid)
+        return AdviceResult(reply.tickets, reply.valid)
 
     async def _call_advisor(
         self,
@@ -223,16 +223,16 @@
         hosts: tuple[str, ...],
         duration: float,
         timeout: float,
-    ) -> Advised:
+    ) -> AdviceResult:
         """Call the advisor on this daemon's channel and add to its backlog."""
         now = asyncio.get_running_loop().time()
         self._own_channel_free_at = max(self._own_channel_free_at, now) + duration
         return await self._advisor.advise(job, occurrence, step, list(hosts), timeout)
 
-    async def answer(self, msg: AdviceRequest) -> AdviceReply:
+    async def serve(self, msg: AdviceRequest) -> AdviceReply:
         """Call the advisor on this daemon's channel for another daemon."""
         try:
-            advised = await self._call_advisor(
+            result = await self._call_advisor(
                 msg.job,
                 msg.occurrence,
                 msg.step,
@@ -242,8 +242,8 @@
             )
         except SiskinroadError as exc:
             log.warning(
-                "lines: advisor call for a peer failed",
+                "advisor_channels: advisor call for a peer failed",
                 extra={"request": msg.job, "error": str(exc)},
             )
             return AdviceReply(msg.id, {}, 0.0)
-        return AdviceReply(msg.id, advised.tickets, advised.valid)
+        return AdviceReply(msg.id, result.tickets, result.valid)
--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -11,12 +11,12 @@
 from siskinroad.peers import Peers, Reach
 from siskinroad.resources import Resources
 from siskinroad.suspend import SuspendWatch
+from siskinroad.work.advisor_channels import AdvisorChannels
 from siskinroad.work.calls import Calls
 from siskinroad.work.claims import Claims
 from siskinroad.work.desk import Desk
 from siskinroad.work.follow import Follower
 from siskinroad.work.intake import Intake
-from siskinroad.work.lines import AdviceLines
 from siskinroad.work.members import BEAT_TIME, OWNER_BEAT_TIME, Members
 from siskinroad.work.messages import (
     AdviceReply,
@@ -107,7 +107,7 @@
             lambda: self.store.answered_at,
             self.store.answered,
         )
-        self.lines = AdviceLines(
+        self.advisor_channels = AdvisorChannels(
             member.node, outside.advisor, self.calls, lambda: self.members.alive(now())
         )
         self.parts = OwnerParts(
@@ -115,7 +115,7 @@
             member.incarnation,
             self.store,
             outside.link,
-            self.lines,
+            self.advisor_channels,
             timing,
             self.metrics,
             wall,
@@ -306,7 +306,7 @@
             age,
             self.claims.leaving,
             self.claims.able,
-            round(self.lines.backlog(now), 2),
+            round(self.advisor_channels.backlog(now), 2),
             self.claims.claiming,
         )
 
@@ -383,7 +383,7 @@
         match msg:
             case Beat():
                 self.members.hear(msg, now)
-                self.lines.heard(msg.node, msg.backlog, now)
+                self.advisor_channels.record_backlog(msg.node, msg.backlog, now)
                 if msg.leaving:
                     self.claims.wanted.set()
                 self._check_for_later_terms(msg)
@@ -404,7 +404,7 @@
             case JobQuestion():
                 self._reply_when_done(peer, self.desk.answer(msg))
             case AdviceRequest():
-                self._reply_when_done(peer, self.lines.answer(msg))
+                self._reply_when_done(peer, self.advisor_channels.serve(msg))
             case RelayRequest():
                 self._reply_when_done(peer, self.store.serve(msg))
 
--- a/siskinroad/work/effects.py
+++ b/siskinroad/work/effects.py
@@ -6,7 +6,7 @@
 
 from siskinroad.work.host import Run
 
-__all__ = ["AskAdvice", "Effect", "PaceRun", "ReconcileHost", "StartRun", "StopRun"]
+__all__ = ["Effect", "PaceRun", "ReconcileHost", "RequestAdvice", "StartRun", "StopRun"]
 
 
 @dataclass(slots=True, frozen=True)
@@ -49,7 +49,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AskAdvice:
+class RequestAdvice:
     """Request for advice on which hosts a step may use.
 
     ``duration`` is the expected time of the request in seconds.
@@ -60,4 +60,4 @@
     duration: float
 
 
-Effect = StartRun | StopRun | PaceRun | ReconcileHost | AskAdvice
+Effect = StartRun | StopRun | PaceRun | ReconcileHost | RequestAdvice
--- a/siskinroad/work/hosts_memory.py
+++ b/siskinroad/work/hosts_memory.py
@@ -7,7 +7,7 @@
 
 from siskinroad.errors import OutcomeUnknownError
 from siskinroad.resources import Resources
-from siskinroad.work.advice import Advised, Advisor
+from siskinroad.work.advice import AdviceResult, Advisor
 from siskinroad.work.hosts import (
     Ended,
     EndKind,
@@ -266,9 +266,9 @@
 
     async def advise(
         self, job: str, occurrence: int, step: int, hosts: list[str], timeout: float
-    ) -> Advised:
+    ) -> AdviceResult:
         """Return a ticket for each host not denied; see the base class."""
         self.calls += 1
         await asyncio.sleep(self.decision)
         tickets = {host: f"t-{host}" for host in hosts if host not in self.denied}
-        return Advised(tickets, self.valid)
+        return AdviceResult(tickets, self.valid)
--- a/siskinroad/work/job.py
+++ b/siskinroad/work/job.py
@@ -88,11 +88,11 @@
     ----------
     by_host : dict of str to int
         Number of the step's runs that occupy capacity on each host.
-    asked : set of str
+    asked_hosts : set of str
         Hosts for which advice was requested.
     tickets : dict of str to tuple
         Ticket of each allowed host, and the loop time until which it is valid.
-    asking : bool
+    is_advice_pending : bool
         Whether an advice request is in flight.
     ready_at : float
         Loop time at which the step became ready to start.
@@ -104,9 +104,9 @@
     spec: Step
     tasks: list[Task]
     by_host: dict[str, int] = field(default_factory=dict)
-    asked: set[str] = field(default_factory=set)
+    asked_hosts: set[str] = field(default_factory=set)
     tickets: dict[str, tuple[str, float]] = field(default_factory=dict)
-    asking: bool = False
+    is_advice_pending: bool = False
     ready_at: float = 0.0
 
     @property
--- a/siskinroad/work/orders.py
+++ b/siskinroad/work/orders.py
@@ -6,7 +6,7 @@
 import logging
 
 from siskinroad.errors import NotSentError, OutcomeUnknownError, SiskinroadError
-from siskinroad.work.effects import AskAdvice, Effect, PaceRun, StartRun, StopRun
+from siskinroad.work.effects import Effect, PaceRun, RequestAdvice, StartRun, StopRun
 from siskinroad.work.host import Host, Run
 from siskinroad.work.hosts import Order, Rejection, StartOrder
 from siskinroad.work.term import Term
@@ -216,23 +216,23 @@
             },
         )
 
-    async def ask(self, effect: AskAdvice) -> None:
+    async def request_advice(self, effect: RequestAdvice) -> None:
         """Request advice and store the tickets that it grants to the step."""
         loop = asyncio.get_running_loop()
         step = self.term.pool_state.step_by_key(effect.step)
         if step is None:
             return
         try:
-            advised = await self.term.parts.lines.ask(
+            result = await self.term.parts.advisor_channels.request_advice(
                 effect.step, effect.hosts, effect.duration
             )
         except SiskinroadError:
             self.term.parts.metrics.retries.labels("advice").inc()
             await asyncio.sleep(ADVICE_RETRY_INTERVAL)
         else:
-            until = loop.time() + advised.valid
-            step.asked.update(effect.hosts)
-            for host, ticket in advised.tickets.items():
+            until = loop.time() + result.valid
+            step.asked_hosts.update(effect.hosts)
+            for host, ticket in result.tickets.items():
                 step.tickets[host] = (ticket, until)
-        step.asking = False
+        step.is_advice_pending = False
         self.term.plan_wanted.set()
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -8,10 +8,10 @@
 from siskinroad.errors import SiskinroadError
 from siskinroad.work.claim import Inheritance, release_pool
 from siskinroad.work.effects import (
-    AskAdvice,
     Effect,
     PaceRun,
     ReconcileHost,
+    RequestAdvice,
     StartRun,
     StopRun,
 )
@@ -263,8 +263,8 @@
             if not self.term.may_act():
                 continue
             now, wall = loop.time(), self.parts.wall()
-            lines = self.parts.lines.times(now)
-            self._carry_out(self.planner.plan(now, wall, lines))
+            channels = self.parts.advisor_channels.channel_times(now)
+            self._carry_out(self.planner.plan(now, wall, channels))
 
     async def _run_ticks(self) -> None:
         loop = asyncio.get_running_loop()
@@ -294,8 +294,8 @@
                     self.term.spawn(self.orders.pace(effect))
                 case ReconcileHost(host=host):
                     self.term.spawn(self.holds.settle(host))
-                case AskAdvice():
-                    self.term.spawn(self.orders.ask(effect))
+                case RequestAdvice():
+                    self.term.spawn(self.orders.request_advice(effect))
         if self.pool_state.dirty:
             self.term.flush_wanted.set()
 
--- a/siskinroad/work/plan.py
+++ b/siskinroad/work/plan.py
@@ -5,10 +5,10 @@
 from dataclasses import dataclass, field
 
 from siskinroad.resources import Resources
+from siskinroad.work.advisor_channels import ChannelTimes
 from siskinroad.work.effects import Effect
 from siskinroad.work.host import Host
 from siskinroad.work.job import StepRun, Task
-from siskinroad.work.lines import LineTimes
 from siskinroad.work.pool_state import PoolState
 
 __all__ = [
@@ -41,9 +41,9 @@
         Thousandths of a processor that steps that are not urgent may still take.
     excluded_hosts : set of str
         Hosts that are kept for a blocked large step.
-    renewed : int
+    renewed_steps : int
         Number of blocked steps whose tickets this pass renews.
-    lines : LineTimes or None
+    channels : ChannelTimes or None
         When the advisor channels are free; None if they always are.
     """
 
@@ -54,8 +54,8 @@
     demand: dict[str, float]
     non_urgent_cpu_milli: float = 0.0
     excluded_hosts: set[str] = field(default_factory=set)
-    renewed: int = 0
-    lines: LineTimes | None = None
+    renewed_steps: int = 0
+    channels: ChannelTimes | None = None
     effects: list[Effect] = field(default_factory=list)
 
 
--- a/siskinroad/work/planner.py
+++ b/siskinroad/work/planner.py
@@ -11,12 +11,12 @@
 import logging
 
 from siskinroad.resources import Resources
-from siskinroad.work.asking import Asker
+from siskinroad.work.advice_requester import AdviceRequester
+from siskinroad.work.advisor_channels import ChannelTimes
 from siskinroad.work.effects import Effect, StartRun
 from siskinroad.work.headroom import UrgentRoom
 from siskinroad.work.host import Host, Run
 from siskinroad.work.job import StepRun, Task
-from siskinroad.work.lines import LineTimes
 from siskinroad.work.model import Queue
 from siskinroad.work.plan import (
     Plan,
@@ -64,27 +64,27 @@
     def __init__(self, pool_state: PoolState) -> None:
         self.pool_state = pool_state
         self.urgent_headroom = UrgentRoom()
-        self.advice_requester = Asker(pool_state)
+        self.advice_requester = AdviceRequester(pool_state)
 
     def plan(
-        self, now: float, wall: float, lines: LineTimes | None = None
+        self, now: float, wall: float, channels: ChannelTimes | None = None
     ) -> list[Effect]:
         """Start the tasks that fit, most urgent step first, and request advice.
 
         Parameters
         ----------
-        lines : LineTimes, optional
+        channels : ChannelTimes, optional
             When the advisor channels are free; None if they always are.
         """
         hosts = [host for host in self.pool_state.hosts.values() if host.open(now)]
         steps = [s for s in self.pool_state.ready.values() if not s.job.closed]
         demand = _compute_demand(steps, hosts)
-        plan = Plan(self.pool_state, now, wall, hosts, demand, lines=lines)
+        plan = Plan(self.pool_state, now, wall, hosts, demand, channels=channels)
         plan.non_urgent_cpu_milli = self._compute_non_urgent_cpu(steps, hosts, now)
         steps.sort(key=lambda s: self._rank_step(s, wall))
         for step in steps:
             self._plan_step(plan, step)
-        self.advice_requester.look_ahead(plan)
+        self.advice_requester.request_for_next_steps(plan)
         return plan.effects
 
     def _is_urgent(self, queue_name: str) -> bool:
@@ -151,7 +151,7 @@
         if placement is None:
             self._free_hosts(plan, step, queue)
             if advice is not None:
-                self.advice_requester.renew_ahead(plan, step, advice)
+                self.advice_requester.renew_early(plan, step, advice)
             return
         self._start_tasks(plan, step, placement, queue)
 
@@ -289,12 +289,18 @@
         stale: list[Host] = []
         if queue.advice is not None:
             hosts = [host for _, host in placement.chosen]
-            stale = self.advice_requester.without_ticket(step, hosts, plan.now)
+            stale = self.advice_requester.hosts_with_stale_tickets(
+                step, hosts, plan.now
+            )
             if stale and step.spec.gang:
-                self.advice_requester.renew(plan, step, placement, queue.advice, hosts)
+                self.advice_requester.reserve_and_renew(
+                    plan, step, placement, queue.advice, hosts
+                )
                 return
             if stale:
-                self.advice_requester.renew(plan, step, placement, queue.advice, stale)
+                self.advice_requester.reserve_and_renew(
+                    plan, step, placement, queue.advice, stale
+                )
         stale_names = {host.name for host in stale}
         chosen = [(t, h) for t, h in placement.chosen if h.name not in stale_names]
         # The runs of a gang share one number; 0 for single tasks.
--- a/siskinroad/work/term.py
+++ b/siskinroad/work/term.py
@@ -7,9 +7,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from siskinroad.work.advisor_channels import AdvisorChannels
 from siskinroad.work.effects import Effect
 from siskinroad.work.hosts import HostLink
-from siskinroad.work.lines import AdviceLines
 from siskinroad.work.model import Timing
 from siskinroad.work.pool_state import PoolState
 from siskinroad.work.store import Store
@@ -42,7 +42,7 @@
     incarnation: int
     store: Store
     link: HostLink
-    lines: AdviceLines
+    advisor_channels: AdvisorChannels
     timing: Timing
     metrics: WorkMetrics
     wall: Callable[[], float]
--- a/tests/work/test_asking.py
+++ b/tests/work/test_advice_requester.py
@@ -1,8 +1,8 @@
 """Tests of when advice is requested, and about which hosts."""
 
-from siskinroad.work.effects import AskAdvice, StartRun
+from siskinroad.work.advisor_channels import ChannelTimes
+from siskinroad.work.effects import RequestAdvice, StartRun
 from siskinroad.work.hosts import HostReport, Running
-from siskinroad.work.lines import LineTimes
 from siskinroad.work.planner import Planner
 from tests.work.cell import job, step
 from tests.work.test_planner import add, allow, make, plan, started
@@ -12,7 +12,7 @@
 
 
 def advice_requests(effects):
-    return [(e.step, e.hosts) for e in effects if isinstance(e, AskAdvice)]
+    return [(e.step, e.hosts) for e in effects if isinstance(e, RequestAdvice)]
 
 
 def accept_starts(pool_state, effects, now):
@@ -109,7 +109,7 @@
     ]
     assert advice_requests(plan(pool_state, 1.0)) == []
     # With its tickets present, the step starts as soon as it is ready.
-    two_steps.steps[0, 1].asking = False
+    two_steps.steps[0, 1].is_advice_pending = False
     allow(two_steps, "i-0", "i-1", step_=1)
     for task in two_steps.steps[0, 0].tasks:
         task.move("done")
@@ -138,7 +138,9 @@
     for i in range(5):
         add(pool_state, f"old{i}", job(step(1, estimate=9.0)), "advised", at=-0.05)
     urgent = add(pool_state, "young", job(step(1, estimate=0.1)), "advised")
-    effects = Planner(pool_state).plan(0.1, 0.1, LineTimes([0.0], [0.2]))
+    effects = Planner(pool_state).plan(0.1, 0.1, ChannelTimes([0.0], [0.2]))
     assert advice_requests(effects) == [(urgent.steps[0, 0].key, ("i-0", "i-1"))]
-    later = advice_requests(Planner(pool_state).plan(0.3, 0.3, LineTimes([0.0], [0.2])))
+    later = advice_requests(
+        Planner(pool_state).plan(0.3, 0.3, ChannelTimes([0.0], [0.2]))
+    )
     assert len(later) == 1 and later[0][0][0].startswith("old")
--- a/tests/work/test_lines.py
+++ b/tests/work/test_advisor_channels.py
@@ -5,9 +5,9 @@
 
 from bench.clock import run
 from siskinroad.peers import MemoryNetwork
-from siskinroad.work.advice import Advised, Advisor
+from siskinroad.work.advice import AdviceResult, Advisor
+from siskinroad.work.advisor_channels import AdvisorChannels, ChannelTimes
 from siskinroad.work.calls import Calls
-from siskinroad.work.lines import AdviceLines, LineTimes
 from siskinroad.work.messages import AdviceReply, AdviceRequest
 from tests.work.cell import CODEC
 
@@ -25,7 +25,7 @@
         self.calls += 1
         async with self.lock:
             await asyncio.sleep(0.6 if job.startswith("long") else 0.02)
-        return Advised(dict.fromkeys(hosts, "t"), 2.0)
+        return AdviceResult(dict.fromkeys(hosts, "t"), 2.0)
 
 
 def make_clients():
@@ -35,7 +35,7 @@
         peers = network.join(name, CODEC)
         calls = Calls(peers, 0)
         others = [n for n in NAMES if n != name]
-        client = AdviceLines(
+        client = AdvisorChannels(
             name, SequentialAdvisor(), calls, lambda others=others: others
         )
 
@@ -44,7 +44,7 @@
                 case AdviceReply():
                     calls.answered(msg.id, msg)
                 case AdviceRequest():
-                    reply = answer(client, peers, peer, msg)
+                    reply = serve(client, peers, peer, msg)
                     tasks.append(asyncio.ensure_future(reply))
 
         peers.receiver = receive
@@ -52,13 +52,13 @@
     return clients
 
 
-async def answer(client, peers, peer, msg):
-    peers.send(peer, await client.answer(msg))
+async def serve(client, peers, peer, msg):
+    peers.send(peer, await client.serve(msg))
 
 
 async def time_request(client, job, duration):
     started_at = asyncio.get_running_loop().time()
-    await client.ask((job, 0, 0), ("i-0",), duration)
+    await client.request_advice((job, 0, 0), ("i-0",), duration)
     return asyncio.get_running_loop().time() - started_at
 
 
@@ -94,7 +94,7 @@
     # Without the backlog from heartbeats, the call would wait 5 s on channel b.
     async def scenario():
         clients = make_clients()
-        clients["a"].heard("b", 5.0, asyncio.get_running_loop().time())
+        clients["a"].record_backlog("b", 5.0, asyncio.get_running_loop().time())
         await time_request(clients["a"], "long", 0.6)
         assert clients["c"]._advisor.calls == 1
 
@@ -104,19 +104,19 @@
 def test_a_plan_assigns_no_more_calls_than_the_channels_can_start_soon():
     # After a takeover, advice is requested anew for twenty gangs; calls for all of them
     # would make a later, more urgent step wait.
-    times = LineTimes([0.0], [0.0, -1.0, 0.1])
-    assert [times.take(0.6) for _ in range(20)].count(True) == 3
+    channels = ChannelTimes([0.0], [0.0, -1.0, 0.1])
+    assert [channels.assign(0.6) for _ in range(20)].count(True) == 3
     # Short calls for later steps find their channel free.
-    assert [times.take(0.02) for _ in range(30)].count(True) == 13
+    assert [channels.assign(0.02) for _ in range(30)].count(True) == 13
 
 
 def test_most_channels_make_long_calls_and_a_single_one_makes_all():
     alive = [f"d{i}" for i in range(7)]
-    short, long = AdviceLines(
+    short, long = AdvisorChannels(
         "d7", SequentialAdvisor(), None, lambda: alive
     )._split_channels()
     assert (len(short), len(long)) == (3, 5) and not set(short) & set(long)
-    assert AdviceLines(
+    assert AdvisorChannels(
         "a", SequentialAdvisor(), None, lambda: []
     )._split_channels() == (
         ["a"],
--- a/tests/work/test_planner.py
+++ b/tests/work/test_planner.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from siskinroad.work.effects import AskAdvice, StartRun, StopRun
+from siskinroad.work.effects import RequestAdvice, StartRun, StopRun
 from siskinroad.work.hosts import HostReport
 from siskinroad.work.planner import Planner
 from siskinroad.work.pool_state import PoolState
@@ -43,7 +43,7 @@
 def allow(accepted_job, *hosts, until=100.0, step_=0):
     """Give a step of a job a ticket for each of the hosts."""
     step_run = accepted_job.steps[0, step_]
-    step_run.asked.update(hosts)
+    step_run.asked_hosts.update(hosts)
     for host in hosts:
         step_run.tickets[host] = (f"t-{host}", until)
 
@@ -116,13 +116,13 @@
 def test_advice_is_requested_once_and_renewed_only_for_the_chosen_hosts():
     pool_state = make(["i-0", "i-1", "i-2"])
     one = add(pool_state, "one", job(step(1, cpu_milli=30000)), "advised")
-    (ask,) = plan(pool_state)
-    assert isinstance(ask, AskAdvice) and len(ask.hosts) == 3
+    (request,) = plan(pool_state)
+    assert isinstance(request, RequestAdvice) and len(request.hosts) == 3
     assert plan(pool_state) == []
-    one.steps[0, 0].asking = False
+    one.steps[0, 0].is_advice_pending = False
     allow(one, "i-1", until=0.2)
     (again,) = plan(pool_state, now=1.0)
-    assert isinstance(again, AskAdvice) and again.hosts == ("i-1",)
+    assert isinstance(again, RequestAdvice) and again.hosts == ("i-1",)
     # The capacity stays reserved for the step until the reply.
     add(pool_state, "other", job(step(1, cpu_milli=30000)), "fast")
     assert ("other", "i-1") not in started(plan(pool_state, now=1.1))
