--- a/siskinroad/work/effects.py
+++ b/siskinroad/work/effects.py
@@ -6,7 +6,14 @@
 
 from siskinroad.work.host import Run
 
-__all__ = ["Effect", "PaceRun", "ReconcileHost", "RequestAdvice", "StartRun", "StopRun"]
+__all__ = [
+    "Effect",
+    "ReconcileHost",
+    "RequestAdvice",
+    "StartRun",
+    "StopRun",
+    "ThrottleRun",
+]
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,7 +37,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PaceRun:
+class ThrottleRun:
     """Request to throttle a run to ``percent`` of its full speed."""
 
     host: str
@@ -60,4 +67,4 @@
     duration: float
 
 
-Effect = StartRun | StopRun | PaceRun | ReconcileHost | RequestAdvice
+Effect = StartRun | StopRun | ThrottleRun | ReconcileHost | RequestAdvice
--- a/siskinroad/work/host.py
+++ b/siskinroad/work/host.py
@@ -56,7 +56,7 @@
         Percent of progress that the checkpoint already had.
     moved_at, reported_at : float
         Loop time at which the progress last changed, and was last reported.
-    pace : int
+    speed_percent : int
         Percent of full speed that the newest throttle command allows.
     """
 
@@ -72,7 +72,7 @@
     moved_at: float = 0.0
     reported_at: float = 0.0
     usage: int = 0
-    pace: int = 100
+    speed_percent: int = 100
     filler: bool = False
     tail_limit: float = 0.0
     queue: str = ""
--- a/siskinroad/work/hosts.py
+++ b/siskinroad/work/hosts.py
@@ -186,7 +186,7 @@
         """Stop a run; if it has not started yet, make the host reject its start."""
 
     @abstractmethod
-    async def pace(self, order: Order, percent: int) -> HostAnswer:
+    async def throttle(self, order: Order, percent: int) -> HostAnswer:
         """Throttle a task to ``percent`` of its full speed."""
 
     @abstractmethod
--- a/siskinroad/work/hosts_memory.py
+++ b/siskinroad/work/hosts_memory.py
@@ -209,7 +209,7 @@
             return HostAnswer(Rejection.OTHER_LIFE, None, None)
         return HostAnswer(host.stop(order), host.clock(), host.born)
 
-    async def pace(self, order: Order, percent: int) -> HostAnswer:
+    async def throttle(self, order: Order, percent: int) -> HostAnswer:
         """Accept a throttle command without effect; see the base class."""
         host = await self._find_host(order.host)
         rejection = None if host is not None else Rejection.OTHER_LIFE
--- a/siskinroad/work/model.py
+++ b/siskinroad/work/model.py
@@ -236,10 +236,10 @@
     several racks.
     """
 
-    max_lease: float = 10.0
-    stop_grace: float = 1.0
-    gang_wait: float = 3.0
-    status_kept: float = 120.0
-    drain: float = 2.5
+    max_lease_s: float = 10.0
+    stop_grace_s: float = 1.0
+    gang_wait_s: float = 3.0
+    status_kept_s: float = 120.0
+    drain_s: float = 2.5
     remote_factor: float = 2.0
-    pace_delay: float = 0.1
+    throttle_delay_s: float = 0.1
--- a/siskinroad/work/orders.py
+++ b/siskinroad/work/orders.py
@@ -6,7 +6,13 @@
 import logging
 
 from siskinroad.errors import NotSentError, OutcomeUnknownError, SiskinroadError
-from siskinroad.work.effects import Effect, PaceRun, RequestAdvice, StartRun, StopRun
+from siskinroad.work.effects import (
+    Effect,
+    RequestAdvice,
+    StartRun,
+    StopRun,
+    ThrottleRun,
+)
 from siskinroad.work.host import Host, Run
 from siskinroad.work.hosts import Order, Rejection, StartOrder
 from siskinroad.work.term import Term
@@ -193,7 +199,7 @@
         task, number = run.key
         return Order(host.name, host.entry.address, host.token, task, number)
 
-    async def pace(self, effect: PaceRun) -> None:
+    async def throttle(self, effect: ThrottleRun) -> None:
         """Throttle a run; if there is no answer, the monitor decides again later."""
         host = self.term.pool_state.hosts.get(effect.host)
         if host is None:
@@ -202,10 +208,10 @@
         try:
             async with self._semaphore(host.name), asyncio.timeout(COMMAND_TIMEOUT):
                 command = self._make_command(host, effect.run)
-                await self.term.parts.link.pace(command, effect.percent)
+                await self.term.parts.link.throttle(command, effect.percent)
         except (NotSentError, OutcomeUnknownError, TimeoutError) as exc:
             outcome = f"unknown: {exc}"
-            effect.run.pace = -1
+            effect.run.speed_percent = -1
         log.info(
             "orders: throttle",
             extra={
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -9,11 +9,11 @@
 from siskinroad.work.claim import Inheritance, release_pool
 from siskinroad.work.effects import (
     Effect,
-    PaceRun,
     ReconcileHost,
     RequestAdvice,
     StartRun,
     StopRun,
+    ThrottleRun,
 )
 from siskinroad.work.follow import Follower
 from siskinroad.work.holds import Holds
@@ -29,7 +29,7 @@
     job_topic,
     unpack,
 )
-from siskinroad.work.steward import Steward
+from siskinroad.work.run_monitor import RunMonitor
 from siskinroad.work.store import Newest, StoreUnknownError
 from siskinroad.work.term import RIGHT_TIME, OwnerParts, Term
 
@@ -70,7 +70,7 @@
         self.pool_state = self.term.pool_state
         self.pool_state.configure(setup)
         self.planner = Planner(self.pool_state)
-        self.steward = Steward(self.pool_state, parts.timing)
+        self.run_monitor = RunMonitor(self.pool_state, parts.timing)
         self.progress = ProgressLog(self.term, inherited.hosts)
         self.orders = Orders(self.term)
         self.holds = Holds(self.term, self.progress)
@@ -277,7 +277,7 @@
             effects = self.pool_state.expire_silent_hosts(now)
             self.pool_state.settle_tasks(now)
             self.pool_state.open_due(now, wall, EARLY_START_TIME)
-            effects += self.steward.look(now, wall)
+            effects += self.run_monitor.check_runs(now, wall)
             self._carry_out(effects)
             if self.progress.due:
                 self.term.flush_wanted.set()
@@ -290,8 +290,8 @@
                     self.term.spawn(self.orders.start(effect))
                 case StopRun():
                     self.term.spawn(self.orders.stop(effect))
-                case PaceRun():
-                    self.term.spawn(self.orders.pace(effect))
+                case ThrottleRun():
+                    self.term.spawn(self.orders.throttle(effect))
                 case ReconcileHost(host=host):
                     self.term.spawn(self.holds.settle(host))
                 case RequestAdvice():
--- a/siskinroad/work/steward.py
+++ b/siskinroad/work/run_monitor.py
@@ -14,14 +14,14 @@
 
 import logging
 
-from siskinroad.work.effects import Effect, PaceRun
+from siskinroad.work.effects import Effect, ThrottleRun
 from siskinroad.work.host import Host, Run
 from siskinroad.work.job import StepRun
 from siskinroad.work.model import Timing
 from siskinroad.work.pool_state import PoolState
 from siskinroad.work.speed import extrapolate_total_s
 
-__all__ = ["Steward"]
+__all__ = ["RunMonitor"]
 
 # Seconds without progress after which a run counts as stalled. A host that has not
 # answered for this long is not judged: its listed progress is too old.
@@ -69,10 +69,10 @@
 # last half second: after a shorter wait, the figure still covers the old throttle.
 THROTTLE_SETTLE_S = 0.6
 
-log = logging.getLogger("siskinroad.steward")
+log = logging.getLogger("siskinroad.run_monitor")
 
 
-class Steward:
+class RunMonitor:
     """Monitor of the runs on the hosts of one pool."""
 
     def __init__(self, pool_state: PoolState, timing: Timing) -> None:
@@ -81,7 +81,7 @@
         self._throttled_at: dict[str, float] = {}
         self._quarantined_until: dict[str, float] = {}
 
-    def look(self, now: float, wall: float) -> list[Effect]:
+    def check_runs(self, now: float, wall: float) -> list[Effect]:
         """Check every host and return the commands that stop or throttle its runs."""
         effects: list[Effect] = []
         for host in list(self.pool_state.hosts.values()):
@@ -147,7 +147,8 @@
             return
         if not host.resting:
             log.warning(
-                "steward: host quarantined", extra={"host": host.name, "why": reason}
+                "run_monitor: host quarantined",
+                extra={"host": host.name, "why": reason},
             )
         host.resting = True
         self._quarantined_until[host.name] = now + seconds
@@ -176,7 +177,7 @@
         total_s = extrapolate_total_s(run)
         if total_s is None:
             return False
-        restart_s = total_s / slowness + self.timing.stop_grace + MOVE_OVERHEAD_S
+        restart_s = total_s / slowness + self.timing.stop_grace_s + MOVE_OVERHEAD_S
         return total_s - (now - run.begun_at) > MIN_MOVE_GAIN * restart_s
 
     def _stop_before_leave(self, host: Host, now: float) -> list[Effect]:
@@ -200,7 +201,7 @@
     ) -> bool:
         """Return whether to stop a run when its host leaves in ``left_s`` seconds."""
         if step.spec.long_running:
-            return left_s <= self.timing.stop_grace + LEAVE_MARGIN_S
+            return left_s <= self.timing.stop_grace_s + LEAVE_MARGIN_S
         limit_s = (
             left_s - LEAVE_MARGIN_S
             if step.spec.checkpoints
@@ -216,7 +217,7 @@
             host.resting = False
             del self._quarantined_until[host.name]
             self.pool_state.health.forget(host.name)
-            log.info("steward: host leaves quarantine", extra={"host": host.name})
+            log.info("run_monitor: host leaves quarantine", extra={"host": host.name})
 
     def _throttle_best_effort(self, host: Host, now: float) -> list[Effect]:
         """Throttle best-effort tasks before a tail beside them reaches its bound."""
@@ -234,19 +235,20 @@
         )
         if worst_tail_ratio > THROTTLE_ABOVE:
             new_percents = [
-                int(max(run.pace, 0) * THROTTLE_FACTOR) for run in best_effort
+                int(max(run.speed_percent, 0) * THROTTLE_FACTOR) for run in best_effort
             ]
         elif worst_tail_ratio < UNTHROTTLE_BELOW:
             new_percents = [
-                min(100, max(run.pace, 0) + UNTHROTTLE_STEP) for run in best_effort
+                min(100, max(run.speed_percent, 0) + UNTHROTTLE_STEP)
+                for run in best_effort
             ]
         else:
             return []
         effects: list[Effect] = []
         for run, percent in zip(best_effort, new_percents, strict=True):
-            if percent != run.pace:
-                run.pace = percent
-                effects.append(PaceRun(host.name, run, percent))
+            if percent != run.speed_percent:
+                run.speed_percent = percent
+                effects.append(ThrottleRun(host.name, run, percent))
         if effects:
             self._throttled_at[host.name] = now
         return effects
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -31,7 +31,7 @@
 def test_settings_are_in_seconds_and_unknown_fields_are_ignored():
     cfg = parse_platform_settings(SETTINGS, "s")
     assert cfg.node == "edge-1" and cfg.peer_address == "127.0.0.1:7380"
-    assert cfg.timing.max_lease == 10.0 and cfg.grace == 6.0
+    assert cfg.timing.max_lease_s == 10.0 and cfg.grace == 6.0
 
 
 @pytest.mark.parametrize(
--- a/tests/work/cell.py
+++ b/tests/work/cell.py
@@ -110,7 +110,7 @@
             outside,
             peers,
             lambda member: None,
-            Timing(status_kept=120.0),
+            Timing(status_kept_s=120.0),
             lambda: asyncio.get_running_loop().time(),
         )
         daemon.start()
--- a/tests/work/test_steward.py
+++ b/tests/work/test_run_monitor.py
@@ -2,15 +2,15 @@
 
 import dataclasses
 
-from siskinroad.work.effects import PaceRun, StartRun, StopRun
+from siskinroad.work.effects import StartRun, StopRun, ThrottleRun
 from siskinroad.work.hosts import Ended, EndKind, HostReport, Running
 from siskinroad.work.model import Timing
 from siskinroad.work.planner import Planner
-from siskinroad.work.steward import Steward
+from siskinroad.work.run_monitor import RunMonitor
 from tests.work.cell import job, step
 from tests.work.test_planner import add, make
 
-TIMING = Timing(stop_grace=0.2)
+TIMING = Timing(stop_grace_s=0.2)
 
 
 def report_host(pool_state, host, now, running=(), ended=()):
@@ -68,7 +68,7 @@
     learn_run_time(pool_state)
     begun = start_three_jobs(pool_state, 1.1)
     report_all(pool_state, 1.9, begun, 12)
-    effects = Steward(pool_state, TIMING).look(1.9, 1.9)
+    effects = RunMonitor(pool_state, TIMING).check_runs(1.9, 1.9)
     stopped = [e.run for e in effects if isinstance(e, StopRun)]
     assert stopped == [effect.run for effect in begun]
     assert pool_state.hosts[begun[0].host].resting
@@ -78,7 +78,7 @@
     pool_state = make(["i-0", "i-1", "i-2"])
     learn_run_time(pool_state)
     report_all(pool_state, 1.9, start_three_jobs(pool_state, 1.1), 55)
-    assert Steward(pool_state, TIMING).look(1.9, 1.9) == []
+    assert RunMonitor(pool_state, TIMING).check_runs(1.9, 1.9) == []
     assert not any(host.resting for host in pool_state.hosts.values())
 
 
@@ -86,7 +86,7 @@
     pool_state = make(["i-0", "i-1", "i-2"])
     learn_run_time(pool_state, seconds=4.9)
     report_all(pool_state, 7.9, start_three_jobs(pool_state, 5.1), 55)
-    assert Steward(pool_state, TIMING).look(7.9, 7.9) == []
+    assert RunMonitor(pool_state, TIMING).check_runs(7.9, 7.9) == []
 
 
 def test_a_wrong_declared_time_of_one_job_makes_no_host_slow():
@@ -94,7 +94,7 @@
     learn_run_time(pool_state)
     add(pool_state, "j", job(step(2, estimate=1.0)), "fast")
     report_all(pool_state, 1.9, start_waiting(pool_state, 1.1), 12)
-    assert Steward(pool_state, TIMING).look(1.9, 1.9) == []
+    assert RunMonitor(pool_state, TIMING).check_runs(1.9, 1.9) == []
 
 
 def test_runs_that_have_just_begun_make_no_host_slow():
@@ -103,7 +103,7 @@
     learn_run_time(pool_state)
     begun = start_three_jobs(pool_state, 1.1)
     report_all(pool_state, 1.15, begun, 0)
-    assert Steward(pool_state, TIMING).look(2.0, 2.0) == []
+    assert RunMonitor(pool_state, TIMING).check_runs(2.0, 2.0) == []
 
 
 def test_a_stalled_run_is_stopped_and_resumes_on_another_host():
@@ -118,7 +118,7 @@
                 now,
                 [running_row(begun, 5)] if name == begun.host else [],
             )
-    (stop,) = Steward(pool_state, TIMING).look(3.5, 3.5)
+    (stop,) = RunMonitor(pool_state, TIMING).check_runs(3.5, 3.5)
     end = Ended(1, *begun.run.key, EndKind.STOPPED, "ck")
     report_host(pool_state, begun.host, 3.6, ended=[end])
     (restart,) = start_waiting(pool_state, 3.7)
@@ -132,22 +132,22 @@
     (serving,) = start_waiting(pool_state, 0.1)
     add(pool_state, "f", job(step(1, filler=True)), "slow")
     (filler,) = start_waiting(pool_state, 0.2)
-    steward = Steward(pool_state, TIMING)
+    run_monitor = RunMonitor(pool_state, TIMING)
     report_host(
         pool_state,
         "i-0",
         1.0,
         [running_row(serving, 100, 80), running_row(filler, 10, 4000)],
     )
-    (slower,) = steward.look(1.0, 1.0)
-    assert isinstance(slower, PaceRun) and slower.percent < 100
+    (slower,) = run_monitor.check_runs(1.0, 1.0)
+    assert isinstance(slower, ThrottleRun) and slower.percent < 100
     report_host(
         pool_state,
         "i-0",
         2.0,
         [running_row(serving, 100, 30), running_row(filler, 12, 400)],
     )
-    (faster,) = steward.look(2.0, 2.0)
+    (faster,) = run_monitor.check_runs(2.0, 2.0)
     assert faster.percent > slower.percent
 
 
@@ -172,9 +172,9 @@
     host, begun = start_copyable_task(pool_state, 2.0)
     report_progress(pool_state, begun, 2.1, 10)
     host.heard_at = 0.0
-    Steward(pool_state, TIMING).look(2.5, 2.5)
+    RunMonitor(pool_state, TIMING).check_runs(2.5, 2.5)
     assert start_waiting(pool_state, 2.5) == []
-    Steward(pool_state, TIMING).look(2.9, 2.9)
+    RunMonitor(pool_state, TIMING).check_runs(2.9, 2.9)
     (copy_start,) = start_waiting(pool_state, 2.9)
     assert copy_start.host != host.name and copy_start.run.key[1] == 2
 
@@ -184,11 +184,11 @@
     pool_state = make(["i-0", "i-1"])
     host, begun = start_copyable_task(pool_state, 2.0)
     report_progress(pool_state, begun, 2.8, 20)
-    steward = Steward(pool_state, TIMING)
-    steward.look(2.85, 2.85)
+    run_monitor = RunMonitor(pool_state, TIMING)
+    run_monitor.check_runs(2.85, 2.85)
     (copy_start,) = start_waiting(pool_state, 2.9)
     assert copy_start.host != host.name
-    steward.look(3.1, 3.1)
+    run_monitor.check_runs(3.1, 3.1)
     assert start_waiting(pool_state, 3.1) == []
     end = Ended(99, *copy_start.run.key, EndKind.DONE, "")
     effects = report_host(pool_state, copy_start.host, 3.9, ended=[end])
@@ -201,7 +201,7 @@
     pool_state = make(["i-0", "i-1"])
     host, begun = start_copyable_task(pool_state, 2.0)
     report_progress(pool_state, begun, 2.8, 20)
-    Steward(pool_state, TIMING).look(2.85, 2.85)
+    RunMonitor(pool_state, TIMING).check_runs(2.85, 2.85)
     (copy_start,) = start_waiting(pool_state, 2.9)
     end = Ended(99, *begun.run.key, EndKind.DONE, "")
     effects = report_host(pool_state, host.name, 3.3, ended=[end])
@@ -217,7 +217,7 @@
     host = pool_state.hosts[begun.host]
     report_progress(pool_state, begun, 2.8, 20)
     host.heard_at = 0.0
-    Steward(pool_state, TIMING).look(3.9, 3.9)
+    RunMonitor(pool_state, TIMING).check_runs(3.9, 3.9)
     assert start_waiting(pool_state, 3.9) == []
 
 
@@ -225,7 +225,7 @@
     pool_state = make(["i-0", "i-1"])
     host, begun = start_copyable_task(pool_state, 2.0)
     report_progress(pool_state, begun, 2.8, 20)
-    Steward(pool_state, TIMING).look(2.85, 2.85)
+    RunMonitor(pool_state, TIMING).check_runs(2.85, 2.85)
     (copy_start,) = start_waiting(pool_state, 2.9)
     report_host(
         pool_state,
@@ -249,7 +249,7 @@
     found = pool_state.hosts[host]
     gone = dataclasses.replace(found.entry, draining=True, stays=stays)
     pool_state.add_or_update_host(gone, now)
-    effects = Steward(pool_state, TIMING).look(now, now)
+    effects = RunMonitor(pool_state, TIMING).check_runs(now, now)
     return [e.run.key[0].job for e in effects if isinstance(e, StopRun)]
 
 
