--- a/siskinroad/work/holds.py
+++ b/siskinroad/work/holds.py
@@ -75,7 +75,7 @@
         token = host.token
         try:
             async with asyncio.timeout(wait + host.patience()):
-                report = await self.term.parts.link.hold(
+                report = await self.term.parts.link.renew_lease(
                     host.name,
                     host.entry.address,
                     token,
@@ -114,7 +114,7 @@
     def _handle_rejection(self, host: Host, rejection: Rejection, token: int) -> bool:
         if rejection is Rejection.FENCED and token >= host.token:
             report_higher_token(self.term, host)
-        if rejection is Rejection.OTHER_LIFE:
+        if rejection is Rejection.OTHER_INCARNATION:
             now = asyncio.get_running_loop().time()
             log.warning(
                 "holds: host was restarted: it reports another incarnation",
--- a/siskinroad/work/host.py
+++ b/siskinroad/work/host.py
@@ -100,7 +100,7 @@
     settled : bool
         The host has replied under this owner's token, so that it is reconciled with
         the owner's view: no command of a former owner can start a task there any more.
-    born : int
+    incarnation_ms : int
         Unix milliseconds of the start of the incarnation that replied; 0 if none has.
     clock, clock_at : int, float
         The host's clock in milliseconds, and the loop time at which it was read.
@@ -131,7 +131,7 @@
     entry: HostEntry
     token: int
     settled: bool = False
-    born: int = 0
+    incarnation_ms: int = 0
     clock: int = 0
     clock_at: float = 0.0
     lapse_at: float = 0.0
--- a/siskinroad/work/hosts.py
+++ b/siskinroad/work/hosts.py
@@ -9,29 +9,29 @@
 from siskinroad.work.model import TaskId
 
 __all__ = [
+    "CommandReply",
     "EndKind",
-    "Ended",
-    "HostAnswer",
+    "HostCommand",
     "HostLink",
     "HostReport",
-    "Order",
     "Rejection",
-    "Running",
-    "StartOrder",
+    "RunEnd",
+    "RunStatus",
+    "StartCommand",
 ]
 
 
 class EndKind(StrEnum):
     """How a run ended.
 
-    ``LAPSED``: the host's lease expired. Only ``FAILED`` counts as a failure of the
-    task.
+    ``LEASE_EXPIRED``: the host's lease expired. Only ``FAILED`` counts as a failure of
+    the task.
     """
 
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
-    LAPSED = "lapsed"
+    LEASE_EXPIRED = "lapsed"
     BROKEN = "broken"
     ALONE = "alone"
 
@@ -41,24 +41,24 @@
 
     ``FENCED``: it has seen a higher fencing token. ``OLD``: it has stopped or ended
     this run or a later one. ``LATE``: the lease in the command has expired.
-    ``ROOM``: it lacks free capacity. ``TICKET``: the ticket is missing or has
-    expired. ``OTHER_LIFE``: another incarnation of the host replied at the address.
-    ``UNWELL``: it accepts no work at present. ``INVALID``: it cannot decode the
-    command.
+    ``NO_CAPACITY``: it lacks free capacity. ``TICKET``: the ticket is missing or has
+    expired. ``OTHER_INCARNATION``: another incarnation of the host replied at the
+    address. ``UNAVAILABLE``: it accepts no work at present. ``INVALID``: it cannot
+    decode the command.
     """
 
     FENCED = "fenced"
     OLD = "old"
     LATE = "late"
-    ROOM = "room"
+    NO_CAPACITY = "room"
     TICKET = "ticket"
-    OTHER_LIFE = "other_life"
-    UNWELL = "unwell"
+    OTHER_INCARNATION = "other_life"
+    UNAVAILABLE = "unwell"
     INVALID = "invalid"
 
 
 @dataclass(slots=True, frozen=True)
-class Order:
+class HostCommand:
     """A command about one run of a task.
 
     Attributes
@@ -77,7 +77,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class StartOrder(Order):
+class StartCommand(HostCommand):
     """A command to start a run.
 
     Attributes
@@ -97,7 +97,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HostAnswer:
+class CommandReply:
     """A complete reply to a command.
 
     Attributes
@@ -106,17 +106,17 @@
         None if the command was carried out.
     clock : int or None
         The host's own clock in milliseconds, if the reply gives it.
-    born : int or None
+    incarnation_ms : int or None
         Unix time in milliseconds at which the host's incarnation began, if given.
     """
 
     rejection: Rejection | None
     clock: int | None
-    born: int | None
+    incarnation_ms: int | None
 
 
 @dataclass(slots=True, frozen=True)
-class Running:
+class RunStatus:
     """A run that a host reports as running.
 
     Attributes
@@ -136,7 +136,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
+class RunEnd:
     """The end of a run, reported by its host until acknowledged.
 
     Attributes
@@ -148,7 +148,7 @@
     number: int
     task: TaskId
     run: int
-    how: EndKind
+    end_kind: EndKind
     checkpoint: str
 
 
@@ -160,14 +160,14 @@
     ----------
     clock : int
         The host's own clock in milliseconds.
-    born : int
+    incarnation_ms : int
         Unix time in milliseconds at which this incarnation of the host began.
     """
 
     clock: int
-    born: int
-    running: tuple[Running, ...]
-    ended: tuple[Ended, ...]
+    incarnation_ms: int
+    running: tuple[RunStatus, ...]
+    ended: tuple[RunEnd, ...]
 
 
 class HostLink(ABC):
@@ -178,19 +178,19 @@
     """
 
     @abstractmethod
-    async def start(self, order: StartOrder) -> HostAnswer:
+    async def start(self, command: StartCommand) -> CommandReply:
         """Start a run; succeed too if the host already has this run."""
 
     @abstractmethod
-    async def stop(self, order: Order) -> HostAnswer:
+    async def stop(self, command: HostCommand) -> CommandReply:
         """Stop a run; if it has not started yet, make the host reject its start."""
 
     @abstractmethod
-    async def throttle(self, order: Order, percent: int) -> HostAnswer:
+    async def throttle(self, command: HostCommand, percent: int) -> CommandReply:
         """Throttle a task to ``percent`` of its full speed."""
 
     @abstractmethod
-    async def hold(
+    async def renew_lease(
         self,
         host: str,
         address: str,
--- a/siskinroad/work/hosts_memory.py
+++ b/siskinroad/work/hosts_memory.py
@@ -9,26 +9,26 @@
 from siskinroad.resources import Resources
 from siskinroad.work.advice import AdviceResult, Advisor
 from siskinroad.work.hosts import (
-    Ended,
+    CommandReply,
     EndKind,
-    HostAnswer,
+    HostCommand,
     HostLink,
     HostReport,
-    Order,
     Rejection,
-    Running,
-    StartOrder,
+    RunEnd,
+    RunStatus,
+    StartCommand,
 )
 from siskinroad.work.model import HostEntry, TaskId
 
-__all__ = ["MemoryAdvisor", "MemoryHost", "MemoryHosts", "Start"]
+__all__ = ["ExecutedStart", "MemoryAdvisor", "MemoryHost", "MemoryHosts"]
 
 # Seconds after which a call that gets no reply fails.
 NO_REPLY_TIME = 30.0
 
 
 @dataclass(slots=True, frozen=True)
-class Start:
+class ExecutedStart:
     """A start that a host has carried out; ``at`` is loop time in seconds."""
 
     host: str
@@ -44,7 +44,7 @@
     run: int
     began_at: float
     ends_at: float
-    how: EndKind
+    end_kind: EndKind
     checkpoint: str = ""
 
     def progress_percent(self, now: float) -> int:
@@ -60,41 +60,41 @@
     ----------
     work : float
         Duration of each task in seconds.
-    how : EndKind
+    end_kind : EndKind
         How each task ends.
-    poison : set of str
-        Jobs whose tasks always fail, regardless of ``how``.
+    failing_jobs : set of str
+        Jobs whose tasks always fail, regardless of ``end_kind``.
     silent : bool
         Whether commands are lost: they have no effect and get no reply.
-    mute_starts : int
+    unanswered_starts : int
         Number of further starts that get no reply.
-    late : float
+    late_start_delay : float
         Seconds after which a start without a reply is carried out; negative if it
         never is.
     token : int
         Highest fencing token seen.
     lease_until : int
         Expiry of the lease in milliseconds on the host's clock; 0 before the first.
-    ends : list of Ended
+    ends : list of RunEnd
         Ends of runs not yet acknowledged.
     last_run : dict of TaskId to int
         Highest run number started or stopped, by task.
     """
 
     entry: HostEntry
-    born: int = 1
-    work: float = 1.0
-    how: EndKind = EndKind.DONE
-    poison: set[str] = field(default_factory=set)
+    incarnation_ms: int = 1
+    task_duration_s: float = 1.0
+    end_kind: EndKind = EndKind.DONE
+    failing_jobs: set[str] = field(default_factory=set)
     silent: bool = False
-    mute_starts: int = 0
-    late: float = -1.0
+    unanswered_starts: int = 0
+    late_start_delay: float = -1.0
     token: int = 0
     lease_until: int = 0
-    ends: list[Ended] = field(default_factory=list)
+    ends: list[RunEnd] = field(default_factory=list)
     runs: dict[TaskId, _Run] = field(default_factory=dict)
     last_run: dict[TaskId, int] = field(default_factory=dict)
-    starts: list[Start] = field(default_factory=list)
+    starts: list[ExecutedStart] = field(default_factory=list)
     number: int = 0
 
     def clock(self) -> int:
@@ -106,50 +106,58 @@
         now = self.clock()
         if self.lease_until and now >= self.lease_until:
             for run in list(self.runs.values()):
-                self._end_run(run, EndKind.LAPSED)
+                self._end_run(run, EndKind.LEASE_EXPIRED)
         for run in list(self.runs.values()):
             if now >= run.ends_at * 1000:
-                self._end_run(run, run.how)
+                self._end_run(run, run.end_kind)
 
-    def _end_run(self, run: _Run, how: EndKind) -> None:
+    def _end_run(self, run: _Run, end_kind: EndKind) -> None:
         del self.runs[run.task]
         self.number += 1
-        self.ends.append(Ended(self.number, run.task, run.run, how, run.checkpoint))
+        self.ends.append(
+            RunEnd(self.number, run.task, run.run, end_kind, run.checkpoint)
+        )
 
-    def accept(self, order: StartOrder) -> Rejection | None:
+    def accept(self, command: StartCommand) -> Rejection | None:
         """Start a run, or return why it is rejected."""
         self.advance()
-        if order.token < self.token:
+        if command.token < self.token:
             return Rejection.FENCED
-        self.token = order.token
-        if order.lease_until <= self.clock():
+        self.token = command.token
+        if command.lease_until <= self.clock():
             return Rejection.LATE
-        known = self.runs.get(order.task)
-        if known is not None and known.run == order.run:
+        known = self.runs.get(command.task)
+        if known is not None and known.run == command.run:
             return None
-        if order.run <= self.last_run.get(order.task, 0):
+        if command.run <= self.last_run.get(command.task, 0):
             return Rejection.OLD
-        self.lease_until = max(self.lease_until, order.lease_until)
-        self.last_run[order.task] = order.run
+        self.lease_until = max(self.lease_until, command.lease_until)
+        self.last_run[command.task] = command.run
         loop = asyncio.get_running_loop()
         now = loop.time()
-        how = EndKind.FAILED if order.task.job in self.poison else self.how
-        self.runs[order.task] = _Run(order.task, order.run, now, now + self.work, how)
-        start = Start(
-            self.entry.name, order.task, order.run, loop.time(), order.checkpoint
+        end_kind = (
+            EndKind.FAILED if command.task.job in self.failing_jobs else self.end_kind
+        )
+        self.runs[command.task] = _Run(
+            command.task, command.run, now, now + self.task_duration_s, end_kind
+        )
+        start = ExecutedStart(
+            self.entry.name, command.task, command.run, loop.time(), command.checkpoint
         )
         self.starts.append(start)
         return None
 
-    def stop(self, order: Order) -> Rejection | None:
+    def stop(self, command: HostCommand) -> Rejection | None:
         """Stop a run; reject its start if that arrives later."""
         self.advance()
-        if order.token < self.token:
+        if command.token < self.token:
             return Rejection.FENCED
-        self.token = order.token
-        self.last_run[order.task] = max(order.run, self.last_run.get(order.task, 0))
-        run = self.runs.get(order.task)
-        if run is not None and run.run <= order.run:
+        self.token = command.token
+        self.last_run[command.task] = max(
+            command.run, self.last_run.get(command.task, 0)
+        )
+        run = self.runs.get(command.task)
+        if run is not None and run.run <= command.run:
             self._end_run(run, EndKind.STOPPED)
         return None
 
@@ -172,7 +180,7 @@
         """Add a host."""
         self.hosts[host.entry.name] = host
 
-    def starts(self) -> list[Start]:
+    def starts(self) -> list[ExecutedStart]:
         """Return every start that was carried out, in order of time."""
         found = [start for host in self.hosts.values() for start in host.starts]
         return sorted(found, key=lambda start: start.at)
@@ -186,36 +194,36 @@
             raise OutcomeUnknownError("host did not reply", step="hosts", peer=name)
         return host
 
-    async def start(self, order: StartOrder) -> HostAnswer:
+    async def start(self, command: StartCommand) -> CommandReply:
         """Start a run; see the base class."""
-        host = await self._find_host(order.host)
+        host = await self._find_host(command.host)
         if host is None:
-            return HostAnswer(Rejection.OTHER_LIFE, None, None)
-        if host.mute_starts > 0:
-            host.mute_starts -= 1
-            if host.late >= 0:
+            return CommandReply(Rejection.OTHER_INCARNATION, None, None)
+        if host.unanswered_starts > 0:
+            host.unanswered_starts -= 1
+            if host.late_start_delay >= 0:
                 loop = asyncio.get_running_loop()
-                loop.call_later(host.late, host.accept, order)
+                loop.call_later(host.late_start_delay, host.accept, command)
             await asyncio.sleep(NO_REPLY_TIME)
             raise OutcomeUnknownError(
-                "host did not reply to the start", step="start", peer=order.host
+                "host did not reply to the start", step="start", peer=command.host
             )
-        return HostAnswer(host.accept(order), host.clock(), host.born)
+        return CommandReply(host.accept(command), host.clock(), host.incarnation_ms)
 
-    async def stop(self, order: Order) -> HostAnswer:
+    async def stop(self, command: HostCommand) -> CommandReply:
         """Stop a run; see the base class."""
-        host = await self._find_host(order.host)
+        host = await self._find_host(command.host)
         if host is None:
-            return HostAnswer(Rejection.OTHER_LIFE, None, None)
-        return HostAnswer(host.stop(order), host.clock(), host.born)
+            return CommandReply(Rejection.OTHER_INCARNATION, None, None)
+        return CommandReply(host.stop(command), host.clock(), host.incarnation_ms)
 
-    async def throttle(self, order: Order, percent: int) -> HostAnswer:
+    async def throttle(self, command: HostCommand, percent: int) -> CommandReply:
         """Accept a throttle command without effect; see the base class."""
-        host = await self._find_host(order.host)
-        rejection = None if host is not None else Rejection.OTHER_LIFE
-        return HostAnswer(rejection, None, None)
+        host = await self._find_host(command.host)
+        rejection = None if host is not None else Rejection.OTHER_INCARNATION
+        return CommandReply(rejection, None, None)
 
-    async def hold(
+    async def renew_lease(
         self,
         host: str,
         address: str,
@@ -227,7 +235,7 @@
         """Renew the lease and return the host's report; see the base class."""
         found = await self._find_host(host)
         if found is None:
-            return Rejection.OTHER_LIFE
+            return Rejection.OTHER_INCARNATION
         if token < found.token:
             return Rejection.FENCED
         found.token = token
@@ -241,10 +249,12 @@
             found.advance()
         now = asyncio.get_running_loop().time()
         running = tuple(
-            Running(r.task, r.run, "", r.progress_percent(now), 0)
+            RunStatus(r.task, r.run, "", r.progress_percent(now), 0)
             for r in found.runs.values()
         )
-        return HostReport(found.clock(), found.born, running, tuple(found.ends))
+        return HostReport(
+            found.clock(), found.incarnation_ms, running, tuple(found.ends)
+        )
 
 
 class MemoryAdvisor(Advisor):
--- a/siskinroad/work/orders.py
+++ b/siskinroad/work/orders.py
@@ -14,7 +14,7 @@
     ThrottleRun,
 )
 from siskinroad.work.host import Host, Run
-from siskinroad.work.hosts import Order, Rejection, StartOrder
+from siskinroad.work.hosts import HostCommand, Rejection, StartCommand
 from siskinroad.work.term import Term
 
 __all__ = ["Orders", "report_higher_token"]
@@ -80,7 +80,7 @@
             effect.run.token = host.token
             host.granted(now)
             task, number = effect.run.key
-            command = StartOrder(
+            command = StartCommand(
                 host.name,
                 host.entry.address,
                 host.token,
@@ -96,7 +96,7 @@
         self.term.plan_wanted.set()
 
     async def _send_start(
-        self, host: Host, run: Run, command: StartOrder
+        self, host: Host, run: Run, command: StartCommand
     ) -> list[Effect]:
         loop = asyncio.get_running_loop()
         sent_at = loop.time()
@@ -140,14 +140,14 @@
         return effects
 
     def _handle_start_reply(
-        self, host: Host, run: Run, command: StartOrder, rejection: Rejection | None
+        self, host: Host, run: Run, command: StartCommand, rejection: Rejection | None
     ) -> list[Effect]:
         now = asyncio.get_running_loop().time()
         if rejection is Rejection.FENCED and command.token >= host.token:
             report_higher_token(self.term, host)
-        if rejection is Rejection.UNWELL:
+        if rejection is Rejection.UNAVAILABLE:
             host.call_failed()
-        if rejection is Rejection.OTHER_LIFE:
+        if rejection is Rejection.OTHER_INCARNATION:
             self.term.pool_state.note_host_unlisted(host.name, now)
             host.call_failed()
         return self.term.pool_state.apply_start_reply(host, run, rejection, now)
@@ -181,7 +181,7 @@
                 return
             await asyncio.sleep(STOP_RETRY_INTERVAL)
 
-    async def _send_stop(self, command: Order) -> tuple[str, bool]:
+    async def _send_stop(self, command: HostCommand) -> tuple[str, bool]:
         """Send one stop; return its outcome and whether it is final."""
         try:
             async with asyncio.timeout(COMMAND_TIMEOUT):
@@ -195,9 +195,9 @@
         is_retryable = reply.rejection is Rejection.FENCED and is_superseded
         return reply.rejection.value, not is_retryable
 
-    def _make_command(self, host: Host, run: Run) -> Order:
+    def _make_command(self, host: Host, run: Run) -> HostCommand:
         task, number = run.key
-        return Order(host.name, host.entry.address, host.token, task, number)
+        return HostCommand(host.name, host.entry.address, host.token, task, number)
 
     async def throttle(self, effect: ThrottleRun) -> None:
         """Throttle a run; if there is no answer, the monitor decides again later."""
--- a/siskinroad/work/pool_state.py
+++ b/siskinroad/work/pool_state.py
@@ -25,7 +25,7 @@
 
 from siskinroad.work.effects import Effect
 from siskinroad.work.host import Host, Run
-from siskinroad.work.hosts import Ended, EndKind, HostReport, Rejection, Running
+from siskinroad.work.hosts import EndKind, HostReport, Rejection, RunEnd, RunStatus
 from siskinroad.work.job import JobState, StepRun, Task
 from siskinroad.work.run_table import RunTable, format_task_position
 
@@ -70,7 +70,7 @@
 
     def note_start_not_sent(self, host: Host, run: Run, now: float) -> list[Effect]:
         """End a run whose start could not be sent from this daemon."""
-        return self.apply_start_reply(host, run, Rejection.UNWELL, now)
+        return self.apply_start_reply(host, run, Rejection.UNAVAILABLE, now)
 
     def note_start_without_reply(
         self, host: Host, run: Run, now: float
@@ -100,9 +100,9 @@
             Loop time at which the request was sent.
         """
         effects: list[Effect] = []
-        if host.born and report.born != host.born:
+        if host.incarnation_ms and report.incarnation_ms != host.incarnation_ms:
             effects += self._handle_restart(host, now)
-        host.born = report.born
+        host.incarnation_ms = report.incarnation_ms
         host.clock, host.clock_at = report.clock, now
         host.heard_at = host.reported_at = now
         if not host.settled:
@@ -139,7 +139,7 @@
         return effects
 
     def _process_ends(
-        self, host: Host, ended: tuple[Ended, ...], now: float, wall: float
+        self, host: Host, ended: tuple[RunEnd, ...], now: float, wall: float
     ) -> list[Effect]:
         effects: list[Effect] = []
         for end in ended:
@@ -150,13 +150,17 @@
         return effects
 
     def _process_end(
-        self, host: Host, end: Ended, now: float, wall: float
+        self, host: Host, end: RunEnd, now: float, wall: float
     ) -> list[Effect]:
         run = host.runs.get((end.task, end.run))
         if run is not None:
             run.move("end")
             self._remove_run(host, run)
-            if end.how is EndKind.DONE and run.begun_at and not run.progress_at_begin:
+            if (
+                end.end_kind is EndKind.DONE
+                and run.begun_at
+                and not run.progress_at_begin
+            ):
                 self.speeds.ended(run.queue, run.declared, now - run.begun_at)
         step = self.step(end.task)
         task = step.job.task(end.task) if step else None
@@ -169,13 +173,13 @@
                 "task": format_task_position(end.task),
                 "run": end.run,
                 "host": host.name,
-                "how": end.how.value,
+                "how": end.end_kind.value,
                 "run_s": round(now - run.begun_at, 2) if run and run.begun_at else None,
             },
         )
         if end.checkpoint and end.run >= task.run:
             task.checkpoint = end.checkpoint
-        if end.how is EndKind.DONE:
+        if end.end_kind is EndKind.DONE:
             task.run = max(task.run, end.run)
             return self._complete_task(step, task, now, wall)
         newest = end.run >= task.run
@@ -210,7 +214,7 @@
         host: Host,
         step: StepRun,
         task: Task,
-        end: Ended,
+        end: RunEnd,
         newest: bool,
         now: float,
         wall: float,
@@ -219,7 +223,7 @@
             return []
         if newest and task.allows("free"):
             task.move("free")
-        if end.how is EndKind.FAILED and end.run not in task.failures:
+        if end.end_kind is EndKind.FAILED and end.run not in task.failures:
             return self._record_failure(host, step, task, end.run, now, wall)
         return []
 
@@ -252,7 +256,7 @@
         return self._close_job(job, JobState.FAILED, wall)
 
     def _process_running(
-        self, host: Host, running: tuple[Running, ...], now: float
+        self, host: Host, running: tuple[RunStatus, ...], now: float
     ) -> list[Effect]:
         effects: list[Effect] = []
         for row in running:
@@ -281,7 +285,7 @@
         return job is None or job.closed
 
     def _adopt_run(
-        self, host: Host, row: Running, now: float
+        self, host: Host, row: RunStatus, now: float
     ) -> tuple[Run, list[Effect]]:
         """Add a listed run that this owner did not start; stop it if unwanted."""
         step = self.step(row.task)
--- a/siskinroad/work/progress.py
+++ b/siskinroad/work/progress.py
@@ -148,7 +148,9 @@
         ends_seen: tuple[tuple[str, int, int], ...] = ()
         if not self.term.pool_state.dirty:
             known = self.term.pool_state.hosts.values()
-            ends_seen = tuple((host.name, host.born, host.seen) for host in known)
+            ends_seen = tuple(
+                (host.name, host.incarnation_ms, host.seen) for host in known
+            )
         outcomes = tuple((job, job.outcome) for job in jobs)
         return _Batch(tuple(records), outcomes, hosts, ends_seen)
 
@@ -162,9 +164,9 @@
             waiter = self._waiters.pop(job.id, None)
             if waiter is not None:
                 waiter.set()
-        for name, born, seen in batch.ends_seen:
+        for name, incarnation_ms, seen in batch.ends_seen:
             host = self.term.pool_state.hosts.get(name)
-            if host is not None and host.born == born:
+            if host is not None and host.incarnation_ms == incarnation_ms:
                 host.acknowledged = max(host.acknowledged, seen)
         self.flushed.set()
         self.flushed = asyncio.Event()
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -10,7 +10,7 @@
 
 from siskinroad.httpd import HttpRequest, HttpResponse, HttpServer
 from siskinroad.resources import Resources
-from siskinroad.work.hosts import Order, Rejection, StartOrder
+from siskinroad.work.hosts import HostCommand, Rejection, StartCommand
 from siskinroad.work.hosts_memory import MemoryHost, MemoryHosts
 from siskinroad.work.model import HostEntry
 from siskinroad.work.store import Fence, FencedError, TailMovedError, TrimmedError
@@ -20,7 +20,7 @@
     Rejection.FENCED: "fence",
     Rejection.OLD: "old",
     Rejection.LATE: "late",
-    Rejection.ROOM: "room",
+    Rejection.NO_CAPACITY: "room",
     Rejection.TICKET: "ticket",
 }
 CONFIG = {
@@ -87,12 +87,12 @@
 
         self.logs.append(topic, [Record(key, value)], None, None)
 
-    async def add_host(self, name, address, work=0.3):
+    async def add_host(self, name, address, task_duration_s=0.3):
         capacity = Resources(16000, 32768, 0, 0)
         entry = HostEntry(
             name, "wuno96b", address, "z1", False, capacity, frozenset(), "r1-3"
         )
-        self.hosts.add(MemoryHost(entry, work=work))
+        self.hosts.add(MemoryHost(entry, task_duration_s=task_duration_s))
         value = msgspec.json.encode(server_entry(address))
         await self.put("keyed.servers", name, value)
 
@@ -165,12 +165,12 @@
             return reply(421)
         body = msgspec.json.decode(req.body)
         if req.path == "/hold":
-            return await self.hold(name, body)
+            return await self.renew_lease(name, body)
         task, run = task_from_name(body["task"]), body["attempt"]
         token = body["fencing_token"]
         rejection = None
         if req.path == "/run-start":
-            command = StartOrder(
+            command = StartCommand(
                 name,
                 "",
                 token,
@@ -183,16 +183,16 @@
             )
             rejection = host.accept(command)
         elif req.path == "/run-stop":
-            rejection = host.stop(Order(name, "", token, task, run))
+            rejection = host.stop(HostCommand(name, "", token, task, run))
         if rejection is not None:
             return reply(
                 409, clock_ms=host.clock(), reason=REASON_BY_REJECTION[rejection]
             )
-        return reply(200, clock_ms=host.clock(), born=host.born)
+        return reply(200, clock_ms=host.clock(), born=host.incarnation_ms)
 
-    async def hold(self, name, body):
+    async def renew_lease(self, name, body):
         wait = body.get("wait_ms", 0) / 1000
-        report = await self.hosts.hold(
+        report = await self.hosts.renew_lease(
             name,
             "",
             body["fencing_token"],
@@ -207,13 +207,13 @@
             for r in report.running
         ]
         finished = [
-            [e.number, task_name(e.task), e.run, e.how.value, e.checkpoint]
+            [e.number, task_name(e.task), e.run, e.end_kind.value, e.checkpoint]
             for e in report.ended
         ]
         return reply(
             200,
             clock_ms=report.clock,
-            born=report.born,
+            born=report.incarnation_ms,
             running=running,
             finished=finished,
         )
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -127,7 +127,7 @@
     report = decode_report(msgspec.json.encode(body), "i-1")
     assert report.running[0].task == TaskId("5c0e7a21d94b36f8", 0, 1, 17)
     assert report.running[0].usage == 120
-    assert report.ended[0].how is EndKind.LAPSED
+    assert report.ended[0].end_kind is EndKind.LEASE_EXPIRED
 
 
 def test_task_name_round_trips():
--- a/tests/work/test_advice_requester.py
+++ b/tests/work/test_advice_requester.py
@@ -2,7 +2,7 @@
 
 from siskinroad.work.advisor_channels import ChannelTimes
 from siskinroad.work.effects import RequestAdvice, StartRun
-from siskinroad.work.hosts import HostReport, Running
+from siskinroad.work.hosts import HostReport, RunStatus
 from siskinroad.work.planner import Planner
 from tests.work.cell import job, step
 from tests.work.test_planner import add, allow, make, plan, started
@@ -27,7 +27,7 @@
 def report_progress(pool_state, percent, now):
     """Report all runs of every host at the same progress in percent."""
     for host in pool_state.hosts.values():
-        running = tuple(Running(t, n, "", percent, 0) for t, n in host.runs)
+        running = tuple(RunStatus(t, n, "", percent, 0) for t, n in host.runs)
         report = HostReport(int(now * 1000), 1, running, ())
         pool_state.apply_report(host, report, host.token, now, now, now)
 
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -57,7 +57,7 @@
 def test_runs_continue_when_owner_is_killed():
     async def scenario(cell):
         for host in cell.hosts.hosts.values():
-            host.work = 6.0
+            host.task_duration_s = 6.0
         await cell.start_daemons("a", "b", "c")
         await cell.submit("a", JOB_ID, job(step(4)))
         await asyncio.sleep(0.5)
@@ -161,7 +161,7 @@
     # the leases of 21 runs expired before the store answered again.
     async def scenario(cell):
         for host in cell.hosts.hosts.values():
-            host.work = 9.0
+            host.task_duration_s = 9.0
         await cell.start_daemons("a", "b", "c")
         await cell.submit("a", JOB_ID, job(step(6, estimate=9.0)))
         await asyncio.sleep(0.5)
@@ -235,13 +235,13 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("late", [-1.0, 0.3, 1.5, 3.0])
-def test_unanswered_start_never_causes_second_run(late):
+@pytest.mark.parametrize("late_start_delay", [-1.0, 0.3, 1.5, 3.0])
+def test_unanswered_start_never_causes_second_run(late_start_delay):
     async def scenario(cell):
         await cell.start_daemons("a", "b")
         for host in cell.hosts.hosts.values():
-            host.mute_starts = 1
-            host.late = late
+            host.unanswered_starts = 1
+            host.late_start_delay = late_start_delay
         await cell.submit("a", JOB_ID, job(step(3)))
         await cell.wait_for_state(JOB_ID, "complete")
         await asyncio.sleep(5)
@@ -256,8 +256,8 @@
     async def scenario(cell):
         await cell.start_daemons("a", "b")
         for host in cell.hosts.hosts.values():
-            host.mute_starts = 1
-            host.late = 3.0
+            host.unanswered_starts = 1
+            host.late_start_delay = 3.0
         began = asyncio.get_running_loop().time()
         await cell.submit("a", JOB_ID, job(step(1)))
         starts = await cell.wait_for_starts(1)
@@ -272,7 +272,7 @@
 def test_task_of_unreachable_host_restarts_only_after_lease_expiry():
     async def scenario(cell):
         for host in cell.hosts.hosts.values():
-            host.work = 8.0
+            host.task_duration_s = 8.0
         await cell.start_daemons("a", "b")
         await cell.submit("a", JOB_ID, job(step(1)))
         await asyncio.sleep(0.5)
@@ -294,7 +294,7 @@
         await cell.submit("a", JOB_ID, job(step(2), step(1, after=(0,))))
         await asyncio.sleep(0.5)
         for host in cell.hosts.hosts.values():
-            host.work = 30.0
+            host.task_duration_s = 30.0
         cell.logs.faults.down = True
         await asyncio.sleep(1.5)
         await cell.kill(cell.owner())
@@ -464,7 +464,7 @@
     async def scenario(cell):
         await cell.start_daemons("a")
         host = cell.hosts.hosts["i-0"]
-        host.mute_starts = 3
+        host.unanswered_starts = 3
         await cell.submit("a", JOB_ID, job(step(8)))
         await asyncio.sleep(0.1)
         await cell.daemons["a"].desk.cancel(ADVISED, JOB_ID, cell.deadline())
@@ -490,8 +490,8 @@
 def test_job_fails_after_its_last_attempt():
     async def scenario(cell):
         for host in cell.hosts.hosts.values():
-            host.how = EndKind.FAILED
-            host.work = 0.2
+            host.end_kind = EndKind.FAILED
+            host.task_duration_s = 0.2
         await cell.start_daemons("a", "b")
         await cell.submit("a", JOB_ID, job())
         await cell.wait_for_state(JOB_ID, "failed")
@@ -589,7 +589,7 @@
 def test_a_host_that_begins_a_new_life_under_its_name_has_lost_its_work():
     async def scenario(cell):
         for host in cell.hosts.hosts.values():
-            host.work = 5.0
+            host.task_duration_s = 5.0
         await cell.start_daemons("a", "b")
         await cell.submit("a", JOB_ID, job())
         await asyncio.sleep(0.5)
@@ -597,7 +597,7 @@
         host.runs.clear()
         host.last_run.clear()
         host.token = 0
-        host.born += 1
+        host.incarnation_ms += 1
         await asyncio.sleep(3.0)
         assert len(cell.hosts.starts()) == 2
         await cell.wait_for_state(JOB_ID, "complete")
--- a/tests/work/test_hard_cases.py
+++ b/tests/work/test_hard_cases.py
@@ -14,15 +14,15 @@
     return [f"{prefix:08x}{i:08x}" for i in range(count)]
 
 
-@pytest.mark.parametrize("late", [0.2, 0.8, 2.0, 5.0])
-def test_delayed_start_of_killed_owner_runs_nothing_after_takeover(late):
+@pytest.mark.parametrize("late_start_delay", [0.2, 0.8, 2.0, 5.0])
+def test_delayed_start_of_killed_owner_runs_nothing_after_takeover(late_start_delay):
     # An owner dies with starts in flight, which reach the hosts only later; no run of
     # them may be left.
     async def scenario(cell):
         await cell.start_daemons("a", "b", "c")
         for host in cell.hosts.hosts.values():
-            host.mute_starts = 2
-            host.late = late
+            host.unanswered_starts = 2
+            host.late_start_delay = late_start_delay
         await cell.submit("a", JOB_ID, job(step(6)))
         await asyncio.sleep(0.05)
         await cell.kill(cell.owner(), power_loss=True)
@@ -65,10 +65,10 @@
 
     async def scenario(cell):
         await cell.start_daemons("a", "b")
-        cell.hosts.hosts["i-0"].how = EndKind.FAILED
+        cell.hosts.hosts["i-0"].end_kind = EndKind.FAILED
         for host in cell.hosts.hosts.values():
-            host.poison.add(bad)
-            host.work = 0.3
+            host.failing_jobs.add(bad)
+            host.task_duration_s = 0.3
         good = make_job_ids(12, 1)
         await cell.submit("a", bad, job(step(2)))
         for name in good:
@@ -89,7 +89,7 @@
 def test_gang_restarts_as_a_whole_after_lost_start():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
-        cell.hosts.hosts["i-1"].mute_starts = 1
+        cell.hosts.hosts["i-1"].unanswered_starts = 1
         gang = step(3, cpu_milli=30000, gang=True)
         await cell.submit("a", JOB_ID, job(gang))
         await cell.wait_for_state(JOB_ID, "complete")
@@ -104,7 +104,7 @@
 def test_long_running_tasks_move_off_draining_host():
     async def scenario(cell):
         for host in cell.hosts.hosts.values():
-            host.work = 1e6
+            host.task_duration_s = 1e6
         await cell.start_daemons("a", "b")
         await cell.submit("a", JOB_ID, job(step(2, long_running=True)))
         starts = await cell.wait_for_starts(2)
--- a/tests/work/test_pool_state.py
+++ b/tests/work/test_pool_state.py
@@ -3,7 +3,7 @@
 import pytest
 
 from siskinroad.work.effects import ReconcileHost, StartRun, StopRun
-from siskinroad.work.hosts import Ended, EndKind, HostReport, Rejection, Running
+from siskinroad.work.hosts import EndKind, HostReport, Rejection, RunEnd, RunStatus
 from siskinroad.work.model import TaskId
 from siskinroad.work.planner import Planner
 from siskinroad.work.pool_state import PoolState
@@ -13,8 +13,8 @@
 TASK = TaskId("j", 0, 0, 0)
 
 
-def report(*, running=(), ended=(), clock=1000, born=1):
-    return HostReport(clock, born, tuple(running), tuple(ended))
+def report(*, running=(), ended=(), clock=1000, incarnation_ms=1):
+    return HostReport(clock, incarnation_ms, tuple(running), tuple(ended))
 
 
 def make_pool_state(spec, hosts=("i-0",), term=1, queue="fast", settled=True):
@@ -57,7 +57,7 @@
     pool_state = make_pool_state(job())
     (start,) = plan_starts(pool_state)
     pool_state.apply_start_reply(pool_state.hosts["i-0"], start.run, None, 0.1)
-    end = Ended(1, TASK, 1, EndKind.FAILED, "")
+    end = RunEnd(1, TASK, 1, EndKind.FAILED, "")
     send_report(pool_state, "i-0", 1.0, ended=[end])
     assert pool_state.task(TASK).failed == 1
     next_owner = make_successor(pool_state)
@@ -69,7 +69,9 @@
     pool_state = make_pool_state(job(step(2, gang=True)), ("i-0", "i-1"))
     for start in plan_starts(pool_state):
         pool_state.apply_start_reply(pool_state.hosts[start.host], start.run, None, 0.1)
-    ends = [Ended(i + 1, TaskId("j", 0, 0, i), 1, EndKind.FAILED, "") for i in range(2)]
+    ends = [
+        RunEnd(i + 1, TaskId("j", 0, 0, i), 1, EndKind.FAILED, "") for i in range(2)
+    ]
     send_report(pool_state, pool_state.task(TASK).host, 1.0, ended=ends)
     assert [task.failed for task in pool_state.jobs["j"].steps[0, 0].tasks] == [1, 1]
 
@@ -83,7 +85,7 @@
         pool_state,
         "i-0",
         1.0,
-        ended=[Ended(1, first_starts[0].run.key[0], 1, EndKind.DONE, "")],
+        ended=[RunEnd(1, first_starts[0].run.key[0], 1, EndKind.DONE, "")],
     )
     assert len(plan_starts(pool_state, 1.1)) == 1
 
@@ -110,7 +112,7 @@
     (start,) = plan_starts(pool_state)
     host = pool_state.hosts["i-0"]
     pool_state.note_start_without_reply(host, start.run, 0.5)
-    send_report(pool_state, "i-0", 0.6, running=[Running(TASK, 1, "", 5, 0)])
+    send_report(pool_state, "i-0", 0.6, running=[RunStatus(TASK, 1, "", 5, 0)])
     assert start.run.state == "running"
     assert not plan_starts(pool_state, 0.7)
 
@@ -148,9 +150,9 @@
 
 def test_a_new_owner_adopts_runs_of_open_jobs_and_stops_unknown_ones():
     pool_state = make_pool_state(job(), ("i-0",), settled=False)
-    other = Running(TaskId("x", 0, 0, 0), 3, "", 50, 0)
+    other = RunStatus(TaskId("x", 0, 0, 0), 3, "", 50, 0)
     effects = send_report(
-        pool_state, "i-0", 0.1, running=[Running(TASK, 4, "ck", 50, 0), other]
+        pool_state, "i-0", 0.1, running=[RunStatus(TASK, 4, "ck", 50, 0), other]
     )
     assert pool_state.task(TASK).state == "placed" and pool_state.task(TASK).run == 4
     assert pool_state.task(TASK).checkpoint == "ck"
@@ -163,7 +165,7 @@
     first_starts = plan_starts(pool_state)
     effects = pool_state.cancel("j", 1.0, 1.0)
     assert len(effects) == len(first_starts)
-    send_report(pool_state, "i-0", 1.2, ended=[Ended(1, TASK, 1, EndKind.STOPPED, "")])
+    send_report(pool_state, "i-0", 1.2, ended=[RunEnd(1, TASK, 1, EndKind.STOPPED, "")])
     assert not plan_starts(pool_state, 1.3)
     assert pool_state.jobs["j"].outcome == "cancelled"
     assert pool_state.jobs["j"].shown() == "queued"
@@ -183,7 +185,7 @@
 
 def test_a_run_just_adopted_by_a_new_owner_does_not_expire_at_once():
     pool_state = make_pool_state(job(), ("i-0",), settled=False)
-    send_report(pool_state, "i-0", 5.0, running=[Running(TASK, 1, "", 50, 0)])
+    send_report(pool_state, "i-0", 5.0, running=[RunStatus(TASK, 1, "", 50, 0)])
     pool_state.expire_silent_hosts(5.01)
     assert pool_state.task(TASK).state == "placed"
     assert pool_state.hosts["i-0"].lapse_at > 9.0
@@ -194,8 +196,8 @@
     pool_state = make_pool_state(job(), ("i-0", "i-1"), settled=False)
     pool_state.waiting_for_hosts = {"i-0", "i-1"}
     pool_state.former_leases_end_at = 1e9
-    send_report(pool_state, "i-1", 0.1, ended=[Ended(1, TASK, 3, EndKind.FAILED, "")])
-    send_report(pool_state, "i-0", 0.2, ended=[Ended(1, TASK, 2, EndKind.FAILED, "")])
+    send_report(pool_state, "i-1", 0.1, ended=[RunEnd(1, TASK, 3, EndKind.FAILED, "")])
+    send_report(pool_state, "i-0", 0.2, ended=[RunEnd(1, TASK, 2, EndKind.FAILED, "")])
     assert pool_state.task(TASK).failed == 2
     pool_state.settle_tasks(0.3)
     assert pool_state.task(TASK).run > 3
@@ -205,7 +207,7 @@
     pool_state = make_pool_state(job(), ("i-0", "i-1"))
     task = pool_state.task(TASK)
     task.run = 5
-    send_report(pool_state, "i-0", 0.1, ended=[Ended(1, TASK, 2, EndKind.FAILED, "")])
+    send_report(pool_state, "i-0", 0.1, ended=[RunEnd(1, TASK, 2, EndKind.FAILED, "")])
     assert task.failed == 1 and task.state == "waiting"
 
 
@@ -239,7 +241,7 @@
         "i-0",
         0.7,
         sent_at=0.6,
-        ended=[Ended(1, TASK, 1, EndKind.STOPPED, "")],
+        ended=[RunEnd(1, TASK, 1, EndKind.STOPPED, "")],
     )
     assert host.used.cpu_milli == 0
 
@@ -257,7 +259,9 @@
     pool_state = make_pool_state(job())
     host, run = start_and_cancel(pool_state)
     pool_state.note_start_without_reply(host, run, 0.3)
-    effects = send_report(pool_state, "i-0", 0.5, running=[Running(TASK, 1, "", 10, 0)])
+    effects = send_report(
+        pool_state, "i-0", 0.5, running=[RunStatus(TASK, 1, "", 10, 0)]
+    )
     assert [e.run for e in effects if isinstance(e, StopRun)] == [run]
 
 
--- a/tests/work/test_run_monitor.py
+++ b/tests/work/test_run_monitor.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from siskinroad.work.effects import StartRun, StopRun, ThrottleRun
-from siskinroad.work.hosts import Ended, EndKind, HostReport, Running
+from siskinroad.work.hosts import EndKind, HostReport, RunEnd, RunStatus
 from siskinroad.work.model import Timing
 from siskinroad.work.planner import Planner
 from siskinroad.work.run_monitor import RunMonitor
@@ -35,7 +35,7 @@
     add(pool_state, "taught", job(step(10, cpu_milli=100, estimate=1.0)), "fast")
     ends = {}
     for i, effect in enumerate(start_waiting(pool_state, now)):
-        end = Ended(i + 1, *effect.run.key, EndKind.DONE, "")
+        end = RunEnd(i + 1, *effect.run.key, EndKind.DONE, "")
         ends.setdefault(effect.host, []).append(end)
     for host, ended in ends.items():
         report_host(pool_state, host, now + seconds, ended=ended)
@@ -43,7 +43,7 @@
 
 def running_row(effect, percent, usage=0):
     """Return the row of a started run in a host's report."""
-    return Running(*effect.run.key, "", percent, usage)
+    return RunStatus(*effect.run.key, "", percent, usage)
 
 
 def start_three_jobs(pool_state, now, estimate=1.0):
@@ -119,7 +119,7 @@
                 [running_row(begun, 5)] if name == begun.host else [],
             )
     (stop,) = RunMonitor(pool_state, TIMING).check_runs(3.5, 3.5)
-    end = Ended(1, *begun.run.key, EndKind.STOPPED, "ck")
+    end = RunEnd(1, *begun.run.key, EndKind.STOPPED, "ck")
     report_host(pool_state, begun.host, 3.6, ended=[end])
     (restart,) = start_waiting(pool_state, 3.7)
     assert stop.run is begun.run and restart.host != begun.host
@@ -190,7 +190,7 @@
     assert copy_start.host != host.name
     run_monitor.check_runs(3.1, 3.1)
     assert start_waiting(pool_state, 3.1) == []
-    end = Ended(99, *copy_start.run.key, EndKind.DONE, "")
+    end = RunEnd(99, *copy_start.run.key, EndKind.DONE, "")
     effects = report_host(pool_state, copy_start.host, 3.9, ended=[end])
     stops = [e for e in effects if isinstance(e, StopRun)]
     assert [(e.host, e.run) for e in stops] == [(host.name, begun.run)]
@@ -203,7 +203,7 @@
     report_progress(pool_state, begun, 2.8, 20)
     RunMonitor(pool_state, TIMING).check_runs(2.85, 2.85)
     (copy_start,) = start_waiting(pool_state, 2.9)
-    end = Ended(99, *begun.run.key, EndKind.DONE, "")
+    end = RunEnd(99, *begun.run.key, EndKind.DONE, "")
     effects = report_host(pool_state, host.name, 3.3, ended=[end])
     assert [e.run for e in effects if isinstance(e, StopRun)] == [copy_start.run]
     assert pool_state.jobs["c"].outcome == "complete"
@@ -231,7 +231,7 @@
         pool_state,
         host.name,
         3.2,
-        ended=[Ended(99, *begun.run.key, EndKind.FAILED, "")],
+        ended=[RunEnd(99, *begun.run.key, EndKind.FAILED, "")],
     )
     task = pool_state.task(begun.run.key[0])
     assert (task.failed, task.state, task.older) == (1, "placed", "")
@@ -239,7 +239,7 @@
         pool_state,
         copy_start.host,
         3.3,
-        ended=[Ended(99, *copy_start.run.key, EndKind.FAILED, "")],
+        ended=[RunEnd(99, *copy_start.run.key, EndKind.FAILED, "")],
     )
     assert (task.failed, task.state) == (2, "waiting")
 
