--- a/siskinroad/work/advice_requester.py
+++ b/siskinroad/work/advice_requester.py
@@ -123,7 +123,7 @@
     def _capacity_times(self, plan: Plan, step: StepRun, host: Host) -> list[float]:
         """Return when a host has capacity for one, two and more tasks of a step."""
         need = step.spec.need
-        capacity = host.free(step.key, plan.now)
+        capacity = host.free_capacity(step.key, plan.now)
         speeds = self.pool_state.speeds
         ends = [
             (plan.now + speeds.remaining(run, plan.now), run.need)
--- a/siskinroad/work/holds.py
+++ b/siskinroad/work/holds.py
@@ -55,31 +55,31 @@
             if not self.term.may_act():
                 await asyncio.sleep(RENEWAL_RETRY_INTERVAL)
                 continue
-            wait = _report_wait(host) if host.settled and not host.failing else 0.0
-            if host.seen > host.acknowledged:
+            wait = _report_wait(host) if host.settled and not host.is_failing else 0.0
+            if host.last_end_seen > host.last_end_stored:
                 wait = 0.0
             if not await self._renew_once(host, wait):
                 await asyncio.sleep(RENEWAL_RETRY_INTERVAL)
                 continue
-            if host.seen > host.acknowledged:
-                await self._wait_until_recorded(host)
+            if host.last_end_seen > host.last_end_stored:
+                await self._wait_until_stored(host)
 
     async def _renew_once(self, host: Host, wait: float) -> bool:
         loop = asyncio.get_running_loop()
         sent_at = loop.time()
         # A host that does not answer is granted no further lease: a delayed call
         # must not prolong runs that are about to be started elsewhere.
-        until = None if host.failing else host.lease_until(sent_at)
+        until = None if host.is_failing else host.lease_until(sent_at)
         if until is not None:
-            host.granted(sent_at)
+            host.extend_lease_expiry(sent_at)
         token = host.token
         try:
-            async with asyncio.timeout(wait + host.patience()):
+            async with asyncio.timeout(wait + host.reply_timeout_s()):
                 report = await self.term.parts.link.renew_lease(
                     host.name,
                     host.entry.address,
                     token,
-                    host.acknowledged,
+                    host.last_end_stored,
                     until,
                     wait,
                 )
@@ -100,7 +100,7 @@
 
     def _note_call_failed(self, host: Host, exc: Exception) -> None:
         now = asyncio.get_running_loop().time()
-        if not host.failing:
+        if not host.is_failing:
             log.warning(
                 "holds: host did not answer; no lease or start until it does",
                 extra={
@@ -109,7 +109,7 @@
                     "error": str(exc),
                 },
             )
-        host.call_failed()
+        host.record_failed_request()
 
     def _handle_rejection(self, host: Host, rejection: Rejection, token: int) -> bool:
         if rejection is Rejection.FENCED and token >= host.token:
@@ -120,15 +120,15 @@
                 "holds: host was restarted: it reports another incarnation",
                 extra={"host": host.name},
             )
-            host.call_failed()
+            host.record_failed_request()
             self.term.carry_out(self.term.pool_state.replace_host(host, now))
         return False
 
-    async def _wait_until_recorded(self, host: Host) -> None:
+    async def _wait_until_stored(self, host: Host) -> None:
         """Wait briefly until the ends that a host has listed are stored."""
         self.term.flush_wanted.set()
         until = asyncio.get_running_loop().time() + RECORD_TIMEOUT
-        while host.seen > host.acknowledged:
+        while host.last_end_seen > host.last_end_stored:
             left = until - asyncio.get_running_loop().time()
             if left <= 0:
                 return
@@ -158,5 +158,5 @@
 
 def _report_wait(host: Host) -> float:
     """Return the seconds for which the host may hold the call open."""
-    short = any(0 < run.declared < SHORT_TASK_TIME for run in host.runs.values())
+    short = any(0 < run.declared_s < SHORT_TASK_TIME for run in host.runs.values())
     return SHORT_TASK_RENEWAL_WAIT if short else RENEWAL_WAIT
--- a/siskinroad/work/host.py
+++ b/siskinroad/work/host.py
@@ -8,12 +8,12 @@
 from siskinroad.resources import NOTHING, Resources
 from siskinroad.work.model import HostEntry, TaskId
 
-__all__ = ["LEASE_TIME", "Host", "Run", "RunKey"]
+__all__ = ["LEASE_S", "Host", "Run", "RunKey"]
 
 # Seconds of lease that each request grants. A shorter lease expires before a successor
 # has detected a dead owner and renewed it; a longer one delays the restart of the tasks
 # of a lost host.
-LEASE_TIME = 4.0
+LEASE_S = 4.0
 # Bounds in seconds of the timeout for a host's reply: the lower one covers a round trip
 # between regions and a short load peak, the upper one a host under heavy load.
 MIN_REPLY_TIMEOUT_S = 0.15
@@ -45,11 +45,11 @@
         State of the ``run`` chart.
     token : int
         Fencing token of the newest command about the run.
-    since : float
+    commanded_at : float
         Loop time in seconds of the newest command or of its reply.
-    foreign : bool
+    is_unexpected : bool
         Found on the host although the owner did not start it.
-    queue, declared, long_running
+    queue, declared_s, long_running
         The task's queue, its declared run time in seconds, and whether it runs until
         its job is cancelled.
     progress_at_begin : int
@@ -63,10 +63,10 @@
     key: RunKey
     need: Resources
     token: int
-    since: float
+    commanded_at: float
     step: tuple[str, int, int]
     state: str = _RUN_CHART.initial
-    foreign: bool = False
+    is_unexpected: bool = False
     begun_at: float = 0.0
     progress: int = 0
     moved_at: float = 0.0
@@ -76,7 +76,7 @@
     filler: bool = False
     tail_limit: float = 0.0
     queue: str = ""
-    declared: float = 0.0
+    declared_s: float = 0.0
     long_running: bool = False
     progress_at_begin: int = 0
 
@@ -104,23 +104,23 @@
         Unix milliseconds of the start of the incarnation that replied; 0 if none has.
     clock, clock_at : int, float
         The host's clock in milliseconds, and the loop time at which it was read.
-    lapse_at : float
+    lease_expires_at : float
         Loop time by which every lease granted so far has certainly expired.
-    seen, acknowledged : int
+    last_end_seen, last_end_stored : int
         Number of the newest run end applied to the pool state, and of the newest one
         stored.
-    heard_at, reported_at : float
+    replied_at, reported_at : float
         Loop time of the last reply, not positive if a request has failed since, and
         of the last report, regardless of failures since.
-    recorded : bool
+    is_stored : bool
         The store holds a record that this owner uses the host.
     reply_time_s : float
         Smoothed time in seconds that the host takes to reply to a command.
     unlisted_at : float
         Loop time at which the host left the live list; 0 while it is listed.
-    leaves_at : float
+    earliest_leave_at : float
         Earliest loop time at which a draining host may leave.
-    resting : bool
+    is_quarantined : bool
         The host is in quarantine and gets no new work.
     used : Resources
         Sum of the needs of its runs.
@@ -134,15 +134,15 @@
     incarnation_ms: int = 0
     clock: int = 0
     clock_at: float = 0.0
-    lapse_at: float = 0.0
-    heard_at: float = -1e9
+    lease_expires_at: float = 0.0
+    replied_at: float = -1e9
     reported_at: float = 0.0
-    seen: int = 0
-    acknowledged: int = 0
+    last_end_seen: int = 0
+    last_end_stored: int = 0
     unlisted_at: float = 0.0
-    leaves_at: float = float("inf")
-    resting: bool = False
-    recorded: bool = False
+    earliest_leave_at: float = float("inf")
+    is_quarantined: bool = False
+    is_stored: bool = False
     reply_time_s: float = 0.03
     runs: dict[RunKey, Run] = field(default_factory=dict)
     used: Resources = NOTHING
@@ -156,13 +156,13 @@
         return self.entry.name
 
     @property
-    def failing(self) -> bool:
+    def is_failing(self) -> bool:
         """Whether the last request to the host has failed."""
-        return self.heard_at <= 0
+        return self.replied_at <= 0
 
-    def call_failed(self) -> None:
+    def record_failed_request(self) -> None:
         """Record that a request got no reply: no new work until one does."""
-        self.heard_at = -1e9
+        self.replied_at = -1e9
 
     def add(self, run: Run) -> None:
         """Add a run and allocate its resources."""
@@ -174,7 +174,7 @@
         del self.runs[run.key]
         self.used = self.used - run.need
 
-    def patience(self) -> float:
+    def reply_timeout_s(self) -> float:
         """Return the timeout in seconds for a reply of the host.
 
         The next request resolves a command without a reply, so that a long wait costs
@@ -183,7 +183,7 @@
         timeout_s = MIN_REPLY_TIMEOUT_S / 2 + REPLY_TIMEOUT_FACTOR * self.reply_time_s
         return min(MAX_REPLY_TIMEOUT_S, max(MIN_REPLY_TIMEOUT_S, timeout_s))
 
-    def answered_in(self, seconds: float) -> None:
+    def record_reply_time(self, seconds: float) -> None:
         """Update the smoothed reply time with a new sample in seconds."""
         self.reply_time_s += REPLY_TIME_WEIGHT * (seconds - self.reply_time_s)
 
@@ -194,24 +194,24 @@
         """
         if not self.clock_at:
             return None
-        return int(self.clock + (now - self.clock_at + LEASE_TIME) * 1000)
+        return int(self.clock + (now - self.clock_at + LEASE_S) * 1000)
 
-    def granted(self, now: float) -> None:
+    def extend_lease_expiry(self, now: float) -> None:
         """Extend the expiry for a lease-granting request that is being sent."""
-        until = now + LEASE_TIME * LEASE_EXPIRY_FACTOR + LEASE_EXPIRY_SLACK_S
-        self.lapse_at = max(self.lapse_at, until)
+        until = now + LEASE_S * LEASE_EXPIRY_FACTOR + LEASE_EXPIRY_SLACK_S
+        self.lease_expires_at = max(self.lease_expires_at, until)
 
-    def open(self, now: float) -> bool:
+    def is_schedulable(self, now: float) -> bool:
         """Return whether new work may be placed on the host."""
-        if not self.settled or not self.recorded:
+        if not self.settled or not self.is_stored:
             return False
-        if self.entry.draining or self.resting:
+        if self.entry.draining or self.is_quarantined:
             return False
         if self.unlisted_at and now - self.unlisted_at > UNLISTED_GRACE_S:
             return False
-        return now - self.heard_at <= HOST_SILENCE_S
+        return now - self.replied_at <= HOST_SILENCE_S
 
-    def free(self, step: tuple[str, int, int], now: float) -> Resources:
+    def free_capacity(self, step: tuple[str, int, int], now: float) -> Resources:
         """Return the free capacity for a step, less the reservations of other steps."""
         left = self.entry.capacity - self.used
         for key, (reserved_need, until) in list(self.reserved.items()):
--- a/siskinroad/work/job.py
+++ b/siskinroad/work/job.py
@@ -126,7 +126,7 @@
             filler=spec.filler,
             tail_limit=spec.tail_limit,
             queue=self.job.queue,
-            declared=spec.estimate,
+            declared_s=spec.estimate,
             long_running=spec.long_running,
         )
 
--- a/siskinroad/work/model.py
+++ b/siskinroad/work/model.py
@@ -213,7 +213,7 @@
         The host is about to leave and accepts no new work.
     rack : str
         The host's rack.
-    stays : float
+    min_stay_s : float
         Minimum seconds for which a draining host stays; 0 if unknown.
     """
 
@@ -225,7 +225,7 @@
     capacity: Resources
     labels: frozenset[str]
     rack: str
-    stays: float = 0.0
+    min_stay_s: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
--- a/siskinroad/work/orders.py
+++ b/siskinroad/work/orders.py
@@ -37,7 +37,7 @@
         "orders: host rejected the token; it has accepted another owner's higher one",
         extra={"host": host.name, "pool": term.pool, "token": host.token},
     )
-    host.call_failed()
+    host.record_failed_request()
     term.doubted()
 
 
@@ -78,7 +78,7 @@
             # The token may have been raised since the effect was created, and the host
             # would reject the old one.
             effect.run.token = host.token
-            host.granted(now)
+            host.extend_lease_expiry(now)
             task, number = effect.run.key
             command = StartCommand(
                 host.name,
@@ -102,21 +102,21 @@
         sent_at = loop.time()
         outcome = "started"
         try:
-            async with asyncio.timeout(host.patience()):
+            async with asyncio.timeout(host.reply_timeout_s()):
                 reply = await self.term.parts.link.start(command)
         except NotSentError as exc:
             outcome = f"not sent: {exc}"
             effects = self.term.pool_state.note_start_not_sent(host, run, loop.time())
-            host.call_failed()
+            host.record_failed_request()
         except (OutcomeUnknownError, TimeoutError) as exc:
             outcome = f"unknown: {exc}"
-            host.answered_in(loop.time() - sent_at)
+            host.record_reply_time(loop.time() - sent_at)
             effects = self.term.pool_state.note_start_without_reply(
                 host, run, loop.time()
             )
-            host.call_failed()
+            host.record_failed_request()
         else:
-            host.answered_in(loop.time() - sent_at)
+            host.record_reply_time(loop.time() - sent_at)
             effects = self._handle_start_reply(host, run, command, reply.rejection)
             if reply.rejection is not None:
                 outcome = reply.rejection.value
@@ -146,10 +146,10 @@
         if rejection is Rejection.FENCED and command.token >= host.token:
             report_higher_token(self.term, host)
         if rejection is Rejection.UNAVAILABLE:
-            host.call_failed()
+            host.record_failed_request()
         if rejection is Rejection.OTHER_INCARNATION:
             self.term.pool_state.note_host_unlisted(host.name, now)
-            host.call_failed()
+            host.record_failed_request()
         return self.term.pool_state.apply_start_reply(host, run, rejection, now)
 
     async def stop(self, effect: StopRun) -> None:
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -17,7 +17,7 @@
 )
 from siskinroad.work.follow import Follower
 from siskinroad.work.holds import Holds
-from siskinroad.work.host import LEASE_TIME
+from siskinroad.work.host import LEASE_S
 from siskinroad.work.model import HostEntry, Setup
 from siskinroad.work.orders import Orders
 from siskinroad.work.planner import Planner
@@ -93,7 +93,7 @@
         else:
             pool_state.settled = False
             names = inherited.hosts.names if inherited.hosts else ()
-            pool_state.expect_hosts(names, now + RIGHT_TIME + LEASE_TIME * 1.1)
+            pool_state.expect_hosts(names, now + RIGHT_TIME + LEASE_S * 1.1)
             self._check_former_owner(now)
         for accepted in inherited.accepted.values():
             pool_state.accept(accepted, now, wall, is_new=False)
@@ -120,7 +120,7 @@
             return
         later = self.parts.is_later_life(former.node, former.incarnation)
         if self._former_released or later:
-            self.pool_state.note_former_owner_dead(now + LEASE_TIME * 1.1)
+            self.pool_state.note_former_owner_dead(now + LEASE_S * 1.1)
             self.former = None
 
     # Lifecycle
--- a/siskinroad/work/plan.py
+++ b/siskinroad/work/plan.py
@@ -117,7 +117,7 @@
 
 def compute_available_after_stops(host: Host, step: StepRun, now: float) -> Resources:
     """Return the free capacity of a host once the runs being stopped have ended."""
-    available = host.free(step.key, now)
+    available = host.free_capacity(step.key, now)
     for run in host.runs.values():
         if run.state in ("stopping", "withdrawn"):
             available = available + run.need
--- a/siskinroad/work/planner.py
+++ b/siskinroad/work/planner.py
@@ -76,7 +76,9 @@
         channels : ChannelTimes, optional
             When the advisor channels are free; None if they always are.
         """
-        hosts = [host for host in self.pool_state.hosts.values() if host.open(now)]
+        hosts = [
+            host for host in self.pool_state.hosts.values() if host.is_schedulable(now)
+        ]
         steps = [s for s in self.pool_state.ready.values() if not s.job.closed]
         demand = _compute_demand(steps, hosts)
         plan = Plan(self.pool_state, now, wall, hosts, demand, channels=channels)
@@ -174,7 +176,7 @@
         placement = Trial()
         bounded = queue.priority > 0 and not step.spec.long_running
         non_urgent_cpu_milli = plan.non_urgent_cpu_milli if bounded else float("inf")
-        available_by_host = {h.name: h.free(step.key, plan.now) for h in hosts}
+        available_by_host = {h.name: h.free_capacity(step.key, plan.now) for h in hosts}
         for task in waiting:
             if step.spec.need.cpu_milli > non_urgent_cpu_milli:
                 return None if step.spec.gang or not placement.chosen else placement
@@ -273,7 +275,7 @@
         spec = step.spec
         if not spec.checkpoints or spec.gang or spec.long_running:
             return False
-        remaining_s = run.declared * (100 - run.progress) / 100
+        remaining_s = run.declared_s * (100 - run.progress) / 100
         is_below_run_limit = run.key[1] <= MAX_PREEMPTIBLE_RUN
         return (
             run.state == "running"
--- a/siskinroad/work/pool_state.py
+++ b/siskinroad/work/pool_state.py
@@ -44,7 +44,7 @@
         if host.runs.get(run.key) is not run or run.state == "over":
             return []
         if rejection is None:
-            run.since = now
+            run.commanded_at = now
             run.move("accept")
             self._mark_begun(host, run, now)
             return []
@@ -104,11 +104,11 @@
             effects += self._handle_restart(host, now)
         host.incarnation_ms = report.incarnation_ms
         host.clock, host.clock_at = report.clock, now
-        host.heard_at = host.reported_at = now
+        host.replied_at = host.reported_at = now
         if not host.settled:
             host.settled = True
             # A former owner may have renewed the lease just before this report.
-            host.granted(now)
+            host.extend_lease_expiry(now)
             log.info(
                 "pool_state: first report from host under this term",
                 extra={
@@ -134,7 +134,7 @@
                 continue
             run.move("lapse")
             effects += self._end_run(host, run, "host restarted", now)
-        host.seen = host.acknowledged = 0
+        host.last_end_seen = host.last_end_stored = 0
         effects.append(self.raise_token(host))
         return effects
 
@@ -143,9 +143,9 @@
     ) -> list[Effect]:
         effects: list[Effect] = []
         for end in ended:
-            if end.number <= host.seen:
+            if end.number <= host.last_end_seen:
                 continue
-            host.seen = end.number
+            host.last_end_seen = end.number
             effects += self._process_end(host, end, now, wall)
         return effects
 
@@ -161,7 +161,7 @@
                 and run.begun_at
                 and not run.progress_at_begin
             ):
-                self.speeds.ended(run.queue, run.declared, now - run.begun_at)
+                self.speeds.ended(run.queue, run.declared_s, now - run.begun_at)
         step = self.step(end.task)
         task = step.job.task(end.task) if step else None
         if step is None or task is None:
@@ -244,7 +244,7 @@
         self.dirty.add(job.id)
         verdict = self.health.observe(host.name, job.id, False, now, len(self.hosts))
         if verdict is not None and verdict.event == "eject":
-            host.resting = True
+            host.is_quarantined = True
             log.warning(
                 "pool_state: host quarantined: too many of its runs failed",
                 extra={"host": host.name},
@@ -265,7 +265,7 @@
                 run, more = self._adopt_run(host, row, now)
                 effects += more
             elif run.state in ("ordered", "withdrawn", "doubtful"):
-                run.since = now
+                run.commanded_at = now
                 run.move("list")
                 self._mark_begun(host, run, now)
                 if run.state == "running" and self._is_job_closed(run):
@@ -312,7 +312,7 @@
         if step is not None:
             step.by_host[host.name] = step.by_host.get(host.name, 0) + 1
         if not wanted or step is None or task is None:
-            run.foreign = True
+            run.is_unexpected = True
             return run, self.stop(host, run, "not wanted")
         task.run = row.run
         task.host = host.name
@@ -328,7 +328,9 @@
         for key, run in list(host.runs.items()):
             if key in listed:
                 continue
-            is_missing = run.state in ("running", "stopping") and run.since < sent_at
+            is_missing = (
+                run.state in ("running", "stopping") and run.commanded_at < sent_at
+            )
             is_voided = run.state == "doubtful" and run.token < token
             if is_missing or is_voided:
                 run.move("absent")
--- a/siskinroad/work/progress.py
+++ b/siskinroad/work/progress.py
@@ -149,7 +149,7 @@
         if not self.term.pool_state.dirty:
             known = self.term.pool_state.hosts.values()
             ends_seen = tuple(
-                (host.name, host.incarnation_ms, host.seen) for host in known
+                (host.name, host.incarnation_ms, host.last_end_seen) for host in known
             )
         outcomes = tuple((job, job.outcome) for job in jobs)
         return _Batch(tuple(records), outcomes, hosts, ends_seen)
@@ -158,15 +158,15 @@
         self._recorded_hosts = batch.hosts
         for name in batch.hosts.names:
             if name in self.term.pool_state.hosts:
-                self.term.pool_state.hosts[name].recorded = True
+                self.term.pool_state.hosts[name].is_stored = True
         for job, outcome in batch.outcomes:
             job.recorded = outcome
             waiter = self._waiters.pop(job.id, None)
             if waiter is not None:
                 waiter.set()
-        for name, incarnation_ms, seen in batch.ends_seen:
+        for name, incarnation_ms, last_end_seen in batch.ends_seen:
             host = self.term.pool_state.hosts.get(name)
             if host is not None and host.incarnation_ms == incarnation_ms:
-                host.acknowledged = max(host.acknowledged, seen)
+                host.last_end_stored = max(host.last_end_stored, last_end_seen)
         self.flushed.set()
         self.flushed = asyncio.Event()
--- a/siskinroad/work/run_monitor.py
+++ b/siskinroad/work/run_monitor.py
@@ -105,9 +105,9 @@
 
     def _find_copy_reason(self, host: Host, run: Run, now: float) -> str:
         """Return why a run needs a speculative copy; empty if it needs none."""
-        if host.failing and now - host.reported_at > COPY_SILENCE_S:
+        if host.is_failing and now - host.reported_at > COPY_SILENCE_S:
             return "host does not answer"
-        expected = self.pool_state.speeds.expected(run.queue, run.declared)
+        expected = self.pool_state.speeds.expected(run.queue, run.declared_s)
         ratio = self.pool_state.speeds.ratio(run)
         if expected is None:
             return ""
@@ -120,7 +120,7 @@
 
     def _stop_stalled_runs(self, host: Host, now: float) -> list[Effect]:
         """Stop stalled runs, so that their tasks restart elsewhere."""
-        if now - host.heard_at > STALL_TIMEOUT_S:
+        if now - host.replied_at > STALL_TIMEOUT_S:
             return []
         stalled = [run for run in host.runs.values() if self._is_stalled(run, now)]
         effects: list[Effect] = []
@@ -141,22 +141,24 @@
     def _quarantine_host(
         self, host: Host, now: float, seconds: float, reason: str
     ) -> None:
-        resting = sum(1 for h in self.pool_state.hosts.values() if h.resting)
+        quarantined_count = sum(
+            1 for h in self.pool_state.hosts.values() if h.is_quarantined
+        )
         max_quarantined = len(self.pool_state.hosts) * MAX_QUARANTINED_FRACTION
-        if not host.resting and resting + 1 > max_quarantined:
+        if not host.is_quarantined and quarantined_count + 1 > max_quarantined:
             return
-        if not host.resting:
+        if not host.is_quarantined:
             log.warning(
                 "run_monitor: host quarantined",
                 extra={"host": host.name, "why": reason},
             )
-        host.resting = True
+        host.is_quarantined = True
         self._quarantined_until[host.name] = now + seconds
 
     def _move_off_slow_host(self, host: Host, now: float) -> list[Effect]:
         """Quarantine a slow host, and stop runs that would end sooner elsewhere."""
         slowness = self.pool_state.speeds.slowness(host)
-        if slowness < SLOW_HOST_RATIO or now - host.heard_at > STALL_TIMEOUT_S:
+        if slowness < SLOW_HOST_RATIO or now - host.replied_at > STALL_TIMEOUT_S:
             return []
         self._quarantine_host(
             host, now, SLOW_QUARANTINE_S, f"{slowness:.1f} times slower than expected"
@@ -184,7 +186,7 @@
         """Stop the runs that will not end before a draining host leaves."""
         if not host.entry.draining:
             return []
-        left_s = max(0.0, host.leaves_at - now)
+        left_s = max(0.0, host.earliest_leave_at - now)
         effects: list[Effect] = []
         for run in list(host.runs.values()):
             step = self.pool_state.step(run.key[0])
@@ -210,11 +212,11 @@
         return self.pool_state.speeds.remaining(run, now) > limit_s
 
     def _end_quarantine(self, host: Host, now: float) -> None:
-        if not host.resting:
+        if not host.is_quarantined:
             return
         until = self._quarantined_until.setdefault(host.name, now + QUARANTINE_S)
         if now >= until:
-            host.resting = False
+            host.is_quarantined = False
             del self._quarantined_until[host.name]
             self.pool_state.health.forget(host.name)
             log.info("run_monitor: host leaves quarantine", extra={"host": host.name})
--- a/siskinroad/work/run_table.py
+++ b/siskinroad/work/run_table.py
@@ -125,11 +125,11 @@
         if host is None:
             host = Host(entry, self.term * TOKENS_PER_TERM)
             self.hosts[entry.name] = host
-        if entry.draining and host.leaves_at == float("inf"):
-            host.leaves_at = now + entry.stays
+        if entry.draining and host.earliest_leave_at == float("inf"):
+            host.earliest_leave_at = now + entry.min_stay_s
             log.info(
                 "pool_state: host is draining",
-                extra={"host": entry.name, "stays_s": entry.stays},
+                extra={"host": entry.name, "stays_s": entry.min_stay_s},
             )
         host.entry = entry
         host.unlisted_at = 0.0
@@ -145,16 +145,16 @@
             extra={"host": name, "silent_s": round(now - host.reported_at, 2)},
         )
 
-    def expect_hosts(self, names: Iterable[str], lapse_at: float) -> None:
+    def expect_hosts(self, names: Iterable[str], lease_expires_at: float) -> None:
         """Set the hosts that a former owner used, and when their leases expire."""
         self.waiting_for_hosts = set(names)
         for host in self.hosts.values():
-            host.lapse_at = max(host.lapse_at, lapse_at)
-        self.former_leases_end_at = lapse_at
+            host.lease_expires_at = max(host.lease_expires_at, lease_expires_at)
+        self.former_leases_end_at = lease_expires_at
 
-    def note_former_owner_dead(self, lapse_at: float) -> None:
+    def note_former_owner_dead(self, lease_expires_at: float) -> None:
         """Shorten the wait for silent hosts, as the former owner is dead."""
-        self.former_leases_end_at = min(self.former_leases_end_at, lapse_at)
+        self.former_leases_end_at = min(self.former_leases_end_at, lease_expires_at)
 
     def settle_tasks(self, now: float) -> bool:
         """Make unsettled tasks placeable once no unknown run of theirs can exist.
@@ -211,7 +211,7 @@
         """End the runs of silent hosts on which every lease has expired."""
         effects: list[Effect] = []
         for host in list(self.hosts.values()):
-            if now < host.lapse_at or now < self._former_lease_end(host):
+            if now < host.lease_expires_at or now < self._former_lease_end(host):
                 continue
             if host.runs:
                 log.warning(
--- a/siskinroad/work/speed.py
+++ b/siskinroad/work/speed.py
@@ -41,22 +41,22 @@
 
     queues: dict[str, _QueueRatio] = field(default_factory=dict)
 
-    def ended(self, queue: str, declared: float, seconds: float) -> None:
+    def ended(self, queue: str, declared_s: float, seconds: float) -> None:
         """Add the run time of a successful run to the ratio of its queue."""
-        if declared <= 0 or seconds <= 0:
+        if declared_s <= 0 or seconds <= 0:
             return
         learned = self.queues.setdefault(queue, _QueueRatio())
         learned.samples += 1
         # The first samples weigh more, so that the average does not stay near 1.
         weight = max(SAMPLE_WEIGHT, 1 / learned.samples)
-        learned.ratio += weight * (seconds / declared - learned.ratio)
+        learned.ratio += weight * (seconds / declared_s - learned.ratio)
 
-    def expected(self, queue: str, declared: float) -> float | None:
+    def expected(self, queue: str, declared_s: float) -> float | None:
         """Return the expected seconds of a task; None without enough samples."""
         learned = self.queues.get(queue)
-        if learned is None or learned.samples < MIN_SAMPLES or declared <= 0:
+        if learned is None or learned.samples < MIN_SAMPLES or declared_s <= 0:
             return None
-        return declared * self.factor(queue)
+        return declared_s * self.factor(queue)
 
     def factor(self, queue: str) -> float:
         """Return the ratio of actual to declared time of a queue; 1 until learned."""
@@ -69,7 +69,7 @@
         None if the run is too young by its newest report, is long-running, or has no
         expected time.
         """
-        expected = self.expected(run.queue, run.declared)
+        expected = self.expected(run.queue, run.declared_s)
         total = extrapolate_total_s(run)
         if expected is None or total is None or run.long_running:
             return None
@@ -88,7 +88,7 @@
             return float("inf")
         total = extrapolate_total_s(run)
         if total is None:
-            left = run.declared * (100 - run.progress_at_begin) / 100
+            left = run.declared_s * (100 - run.progress_at_begin) / 100
             total = left * self.factor(run.queue) or float("inf")
         begun_at = run.begun_at or now
         return max(0.0, total - (now - begun_at))
--- a/tests/work/test_hard_cases.py
+++ b/tests/work/test_hard_cases.py
@@ -80,7 +80,8 @@
         owner = cell.daemons[cell.owner()]
         (pool_state,) = [pool.pool_state for pool in owner.owners.values()]
         assert (
-            not pool_state.hosts["i-1"].resting and not pool_state.hosts["i-2"].resting
+            not pool_state.hosts["i-1"].is_quarantined
+            and not pool_state.hosts["i-2"].is_quarantined
         )
 
     run_scenario(scenario)
--- a/tests/work/test_planner.py
+++ b/tests/work/test_planner.py
@@ -18,7 +18,7 @@
     for name in hosts:
         pool_state.add_or_update_host(entries.get(name, entry(name)))
         host = pool_state.hosts[name]
-        host.recorded = True
+        host.is_stored = True
         pool_state.apply_report(
             host, HostReport(1000, 1, (), ()), host.token, 0.0, 0.0, 0.0
         )
--- a/tests/work/test_pool_state.py
+++ b/tests/work/test_pool_state.py
@@ -23,7 +23,7 @@
     pool_state.configure(SETUP)
     for name in hosts:
         pool_state.add_or_update_host(entry(name))
-        pool_state.hosts[name].recorded = True
+        pool_state.hosts[name].is_stored = True
         if settled:
             send_report(pool_state, name, 0.0)
     pool_state.accept(Accepted("j", queue, POOL, 0.0, spec), 0.0, 0.0, is_new=settled)
@@ -175,11 +175,11 @@
     pool_state = make_pool_state(job(), ("i-0", "i-1"))
     (start,) = plan_starts(pool_state)
     host = pool_state.hosts[start.host]
-    host.granted(0.1)
+    host.extend_lease_expiry(0.1)
     pool_state.apply_start_reply(host, start.run, None, 0.2)
     pool_state.expire_silent_hosts(4.0)
     assert pool_state.task(TASK).state == "placed"
-    pool_state.expire_silent_hosts(host.lapse_at + 0.01)
+    pool_state.expire_silent_hosts(host.lease_expires_at + 0.01)
     assert pool_state.task(TASK).state == "waiting"
 
 
@@ -188,7 +188,7 @@
     send_report(pool_state, "i-0", 5.0, running=[RunStatus(TASK, 1, "", 50, 0)])
     pool_state.expire_silent_hosts(5.01)
     assert pool_state.task(TASK).state == "placed"
-    assert pool_state.hosts["i-0"].lapse_at > 9.0
+    assert pool_state.hosts["i-0"].lease_expires_at > 9.0
 
 
 def test_all_failed_runs_count_in_any_order_of_the_hosts_reports():
--- a/tests/work/test_run_monitor.py
+++ b/tests/work/test_run_monitor.py
@@ -71,7 +71,7 @@
     effects = RunMonitor(pool_state, TIMING).check_runs(1.9, 1.9)
     stopped = [e.run for e in effects if isinstance(e, StopRun)]
     assert stopped == [effect.run for effect in begun]
-    assert pool_state.hosts[begun[0].host].resting
+    assert pool_state.hosts[begun[0].host].is_quarantined
 
 
 def test_hosts_of_normal_speed_are_not_quarantined():
@@ -79,7 +79,7 @@
     learn_run_time(pool_state)
     report_all(pool_state, 1.9, start_three_jobs(pool_state, 1.1), 55)
     assert RunMonitor(pool_state, TIMING).check_runs(1.9, 1.9) == []
-    assert not any(host.resting for host in pool_state.hosts.values())
+    assert not any(host.is_quarantined for host in pool_state.hosts.values())
 
 
 def test_a_wrong_declared_time_of_a_queue_makes_no_host_slow():
@@ -171,7 +171,7 @@
     pool_state = make(["i-0", "i-1"])
     host, begun = start_copyable_task(pool_state, 2.0)
     report_progress(pool_state, begun, 2.1, 10)
-    host.heard_at = 0.0
+    host.replied_at = 0.0
     RunMonitor(pool_state, TIMING).check_runs(2.5, 2.5)
     assert start_waiting(pool_state, 2.5) == []
     RunMonitor(pool_state, TIMING).check_runs(2.9, 2.9)
@@ -216,7 +216,7 @@
     (begun,) = start_waiting(pool_state, 2.0)
     host = pool_state.hosts[begun.host]
     report_progress(pool_state, begun, 2.8, 20)
-    host.heard_at = 0.0
+    host.replied_at = 0.0
     RunMonitor(pool_state, TIMING).check_runs(3.9, 3.9)
     assert start_waiting(pool_state, 3.9) == []
 
@@ -244,10 +244,10 @@
     assert (task.failed, task.state) == (2, "waiting")
 
 
-def drain_host(pool_state, host, stays, now):
+def drain_host(pool_state, host, min_stay_s, now):
     """Let a host drain and return the jobs whose runs the monitor stops."""
     found = pool_state.hosts[host]
-    gone = dataclasses.replace(found.entry, draining=True, stays=stays)
+    gone = dataclasses.replace(found.entry, draining=True, min_stay_s=min_stay_s)
     pool_state.add_or_update_host(gone, now)
     effects = RunMonitor(pool_state, TIMING).check_runs(now, now)
     return [e.run.key[0].job for e in effects if isinstance(e, StopRun)]
@@ -283,4 +283,4 @@
     pool_state = make(["i-0"])
     for now in (1.0, 2.0):
         drain_host(pool_state, "i-0", 2.5, now)
-    assert pool_state.hosts["i-0"].leaves_at == 3.5
+    assert pool_state.hosts["i-0"].earliest_leave_at == 3.5
