--- a/siskinroad/work/effects.py
+++ b/siskinroad/work/effects.py
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReconcileHost:
-    """Request to settle a host: reconcile its runs with the owner's view.
+    """Request to reconcile a host's runs with the owner's view.
 
     The host is asked at once, with its raised token, what it runs.
     """
--- a/siskinroad/work/orders.py
+++ b/siskinroad/work/host_commands.py
@@ -17,7 +17,7 @@
 from siskinroad.work.hosts import HostCommand, Rejection, StartCommand
 from siskinroad.work.term import Term
 
-__all__ = ["Orders", "report_higher_token"]
+__all__ = ["HostCommands", "report_higher_token"]
 
 # Seconds for one command, enough for a round trip between regions to a loaded host.
 COMMAND_TIMEOUT = 0.5
@@ -28,20 +28,21 @@
 # Seconds before another advice request after one that failed.
 ADVICE_RETRY_INTERVAL = 0.05
 
-log = logging.getLogger("siskinroad.orders")
+log = logging.getLogger("siskinroad.host_commands")
 
 
 def report_higher_token(term: Term, host: Host) -> None:
     """Report that a host has seen a higher token than this owner ever sent to it."""
     log.warning(
-        "orders: host rejected the token; it has accepted another owner's higher one",
+        "host_commands: host rejected the token; "
+        "it has accepted another owner's higher one",
         extra={"host": host.name, "pool": term.pool, "token": host.token},
     )
     host.record_failed_request()
     term.doubted()
 
 
-class Orders:
+class HostCommands:
     """A command sender that reports the hosts' replies to the pool state."""
 
     def __init__(self, term: Term) -> None:
@@ -122,7 +123,7 @@
                 outcome = reply.rejection.value
         self.term.parts.metrics.starts.labels(outcome.partition(":")[0]).inc()
         log.info(
-            "orders: start",
+            "host_commands: start command",
             extra={
                 "request": command.task.job,
                 "task": (
@@ -166,7 +167,7 @@
                 command = self._make_command(host, effect.run)
                 outcome, is_final = await self._send_stop(command)
             log.info(
-                "orders: stop",
+                "host_commands: stop command",
                 extra={
                     "request": task.job,
                     "task": f"{task.occurrence}.{task.step}.{task.index}",
@@ -213,7 +214,7 @@
             outcome = f"unknown: {exc}"
             effect.run.speed_percent = -1
         log.info(
-            "orders: throttle",
+            "host_commands: throttle command",
             extra={
                 "request": effect.run.key[0].job,
                 "host": host.name,
--- a/siskinroad/work/holds.py
+++ b/siskinroad/work/lease_renewer.py
@@ -7,12 +7,12 @@
 
 from siskinroad.errors import NotSentError, OutcomeUnknownError
 from siskinroad.work.host import Host
+from siskinroad.work.host_commands import report_higher_token
 from siskinroad.work.hosts import Rejection
-from siskinroad.work.orders import report_higher_token
 from siskinroad.work.progress import ProgressLog
 from siskinroad.work.term import Term
 
-__all__ = ["Holds"]
+__all__ = ["LeaseRenewer"]
 
 # Seconds for which a host may wait for a run to end before it answers. A lost
 # answer hides ended runs for that long, so it is shorter where short tasks run.
@@ -22,15 +22,15 @@
 SHORT_TASK_TIME = 2.0
 # Seconds before a failed renewal or reconciliation call is repeated.
 RENEWAL_RETRY_INTERVAL = 0.1
-SETTLE_RETRY_INTERVAL = 0.1
+RECONCILE_RETRY_INTERVAL = 0.1
 # Seconds for which the next call to a host waits until the ends that its report
 # listed are stored, so that it can acknowledge them.
 RECORD_TIMEOUT = 0.6
 
-log = logging.getLogger("siskinroad.holds")
+log = logging.getLogger("siskinroad.lease_renewer")
 
 
-class Holds:
+class LeaseRenewer:
     """Lease renewer with one call in progress to each known host at any time."""
 
     def __init__(self, term: Term, progress: ProgressLog) -> None:
@@ -38,7 +38,7 @@
         self._progress = progress
         self._renewals: dict[str, asyncio.Task[None]] = {}
 
-    def hold(self, name: str) -> None:
+    def start_renewing(self, name: str) -> None:
         """Start renewing a host's lease, unless that is under way."""
         task = self._renewals.get(name)
         if task is None or task.done():
@@ -102,7 +102,7 @@
         now = asyncio.get_running_loop().time()
         if not host.is_failing:
             log.warning(
-                "holds: host did not answer; no lease or start until it does",
+                "lease_renewer: host did not answer; no lease or start until it does",
                 extra={
                     "host": host.name,
                     "silent_s": round(now - host.reported_at, 2),
@@ -117,7 +117,7 @@
         if rejection is Rejection.OTHER_INCARNATION:
             now = asyncio.get_running_loop().time()
             log.warning(
-                "holds: host was restarted: it reports another incarnation",
+                "lease_renewer: host was restarted: it reports another incarnation",
                 extra={"host": host.name},
             )
             host.record_failed_request()
@@ -138,7 +138,7 @@
             except TimeoutError:
                 return
 
-    async def settle(self, name: str) -> None:
+    async def reconcile(self, name: str) -> None:
         """Call a host with its raised token until its doubtful runs are reconciled.
 
         Either the host reports what it runs, or no run there is doubtful any more,
@@ -153,7 +153,7 @@
             if self.term.may_act() and await self._renew_once(host, 0.0):
                 self.term.plan_wanted.set()
                 return
-            await asyncio.sleep(SETTLE_RETRY_INTERVAL)
+            await asyncio.sleep(RECONCILE_RETRY_INTERVAL)
 
 
 def _report_wait(host: Host) -> float:
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -16,10 +16,10 @@
     ThrottleRun,
 )
 from siskinroad.work.follow import Follower
-from siskinroad.work.holds import Holds
 from siskinroad.work.host import LEASE_S
+from siskinroad.work.host_commands import HostCommands
+from siskinroad.work.lease_renewer import LeaseRenewer
 from siskinroad.work.model import HostEntry, Setup
-from siskinroad.work.orders import Orders
 from siskinroad.work.planner import Planner
 from siskinroad.work.progress import Deposed, ProgressLog
 from siskinroad.work.records import (
@@ -72,8 +72,8 @@
         self.planner = Planner(self.pool_state)
         self.run_monitor = RunMonitor(self.pool_state, parts.timing)
         self.progress = ProgressLog(self.term, inherited.hosts)
-        self.orders = Orders(self.term)
-        self.holds = Holds(self.term, self.progress)
+        self.host_commands = HostCommands(self.term)
+        self.lease_renewer = LeaseRenewer(self.term, self.progress)
         self._rechecked_at = -1e9
         self.former = inherited.former
         self._former_alone = inherited.former_alone
@@ -195,7 +195,7 @@
         for entry in entries.values():
             if entry.pool == self.pool:
                 self.pool_state.add_or_update_host(entry, now)
-                self.holds.hold(entry.name)
+                self.lease_renewer.start_renewing(entry.name)
         for name in self.pool_state.hosts:
             listed = entries.get(name)
             if listed is None or listed.pool != self.pool:
@@ -287,15 +287,15 @@
         for effect in effects:
             match effect:
                 case StartRun():
-                    self.term.spawn(self.orders.start(effect))
+                    self.term.spawn(self.host_commands.start(effect))
                 case StopRun():
-                    self.term.spawn(self.orders.stop(effect))
+                    self.term.spawn(self.host_commands.stop(effect))
                 case ThrottleRun():
-                    self.term.spawn(self.orders.throttle(effect))
+                    self.term.spawn(self.host_commands.throttle(effect))
                 case ReconcileHost(host=host):
-                    self.term.spawn(self.holds.settle(host))
+                    self.term.spawn(self.lease_renewer.reconcile(host))
                 case RequestAdvice():
-                    self.term.spawn(self.orders.request_advice(effect))
+                    self.term.spawn(self.host_commands.request_advice(effect))
         if self.pool_state.dirty:
             self.term.flush_wanted.set()
 
