--- a/siskinroad/work/advisor_channels.py
+++ b/siskinroad/work/advisor_channels.py
@@ -20,8 +20,8 @@
 
 from siskinroad.errors import OutcomeUnknownError, SiskinroadError
 from siskinroad.work.advice import AdviceResult, Advisor
-from siskinroad.work.calls import Calls
 from siskinroad.work.messages import AdviceReply, AdviceRequest
+from siskinroad.work.peer_calls import PeerCalls
 
 __all__ = ["AdvisorChannels", "ChannelTimes"]
 
@@ -84,7 +84,7 @@
         This daemon's name.
     advisor : Advisor
         Client for this daemon's own channel.
-    calls : Calls
+    peer_calls : PeerCalls
         Requests to the other daemons, for their channels.
     living_peers : callable
         Returns the names of the other live daemons.
@@ -94,12 +94,12 @@
         self,
         node: str,
         advisor: Advisor,
-        calls: Calls,
+        peer_calls: PeerCalls,
         living_peers: Callable[[], list[str]],
     ) -> None:
         self._node = node
         self._advisor = advisor
-        self._calls = calls
+        self._peer_calls = peer_calls
         self._living_peers = living_peers
         self._channel_free_at: dict[str, float] = {}
         self._own_channel_free_at = 0.0
@@ -201,7 +201,7 @@
             return await self._call_advisor(
                 job, occurrence, step_number, hosts, duration, timeout
             )
-        reply = await self._calls.ask(
+        reply = await self._peer_calls.request(
             channel,
             lambda request_id: AdviceRequest(
                 request_id, job, occurrence, step_number, hosts, duration, timeout
--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -12,19 +12,18 @@
 from siskinroad.resources import Resources
 from siskinroad.suspend import SuspendWatch
 from siskinroad.work.advisor_channels import AdvisorChannels
-from siskinroad.work.calls import Calls
 from siskinroad.work.claims import Claims
-from siskinroad.work.desk import Desk
 from siskinroad.work.follow import Follower
-from siskinroad.work.intake import Intake
+from siskinroad.work.job_service import JobService
+from siskinroad.work.job_writer import JobWriter
 from siskinroad.work.members import BEAT_TIME, OWNER_BEAT_TIME, Members
 from siskinroad.work.messages import (
     AdviceReply,
     AdviceRequest,
     Beat,
     Hello,
-    JobAnswer,
-    JobQuestion,
+    JobReply,
+    JobRequest,
     RelayReply,
     RelayRequest,
     SubmitReply,
@@ -32,6 +31,7 @@
 )
 from siskinroad.work.model import HostEntry, Setup, Timing
 from siskinroad.work.outside import Outside
+from siskinroad.work.peer_calls import PeerCalls
 from siskinroad.work.records import (
     MEMBERS_TOPIC,
     Member,
@@ -96,9 +96,9 @@
         self._suspend_detector = SuspendWatch()
         self._background_tasks: set[asyncio.Task[None]] = set()
         now = asyncio.get_running_loop().time
-        self.calls = Calls(peers, member.incarnation << 20)
+        self.peer_calls = PeerCalls(peers, member.incarnation << 20)
         self.store = RelayStore(
-            outside.store, self.calls, lambda: self.members.reaches_store(now())
+            outside.store, self.peer_calls, lambda: self.members.reaches_store(now())
         )
         self.store.returned = self._on_store_recovered
         self.watch = StoreWatch(
@@ -108,7 +108,10 @@
             self.store.answered,
         )
         self.advisor_channels = AdvisorChannels(
-            member.node, outside.advisor, self.calls, lambda: self.members.alive(now())
+            member.node,
+            outside.advisor,
+            self.peer_calls,
+            lambda: self.members.alive(now()),
         )
         self.parts = OwnerParts(
             member.node,
@@ -131,19 +134,19 @@
             self._send_heartbeats,
         )
         self.owners = self.claims.owners
-        self.intake = Intake(
+        self.job_writer = JobWriter(
             member.node,
             self.store,
-            self.calls,
+            self.peer_calls,
             self._job_writer_of,
             lambda node: self.members.answers(node, now()),
             lambda: self.store.heard_at,
             self.metrics,
         )
-        self.desk = Desk(
+        self.job_service = JobService(
             member.node,
-            self.intake,
-            self.calls,
+            self.job_writer,
+            self.peer_calls,
             self.owners,
             self._owner_of,
             self._capacities,
@@ -171,7 +174,7 @@
     @property
     def ready(self) -> bool:
         """Whether this daemon should receive requests from callers."""
-        return self.desk.setup is not None and not self.claims.leaving
+        return self.job_service.setup is not None and not self.claims.leaving
 
     def start(self) -> None:
         """Start the daemon's background loops."""
@@ -222,7 +225,7 @@
 
     async def close(self) -> None:
         """Stop every loop immediately, without releasing the pools."""
-        self.intake.close()
+        self.job_writer.close()
         await self.claims.close()
         tasks = [*self._tasks, *self._background_tasks]
         for task in tasks:
@@ -332,10 +335,10 @@
                 self._activate_setup(setup)
 
     def _activate_setup(self, setup: Setup) -> None:
-        known = self.desk.setup
+        known = self.job_service.setup
         if known is not None and setup.version <= known.version:
             return
-        self.desk.setup = self.claims.setup = setup
+        self.job_service.setup = self.claims.setup = setup
         log.info(
             "daemon: configuration applied",
             extra={"version": setup.version, "queues": len(setup.queues)},
@@ -397,12 +400,12 @@
                         msg.region,
                     )
                 )
-            case JobAnswer() | AdviceReply() | RelayReply() | SubmitReply():
-                self.calls.answered(msg.id, msg)
+            case JobReply() | AdviceReply() | RelayReply() | SubmitReply():
+                self.peer_calls.handle_reply(msg.id, msg)
             case SubmitRequest():
-                self._reply_when_done(peer, self.intake.accept(msg))
-            case JobQuestion():
-                self._reply_when_done(peer, self.desk.answer(msg))
+                self._reply_when_done(peer, self.job_writer.accept(msg))
+            case JobRequest():
+                self._reply_when_done(peer, self.job_service.handle_request(msg))
             case AdviceRequest():
                 self._reply_when_done(peer, self.advisor_channels.serve(msg))
             case RelayRequest():
--- a/siskinroad/work/desk.py
+++ b/siskinroad/work/job_service.py
@@ -14,15 +14,15 @@
 
 from siskinroad.errors import SiskinroadError
 from siskinroad.resources import Resources
-from siskinroad.work.calls import Calls
-from siskinroad.work.intake import Intake
-from siskinroad.work.messages import JobAnswer, JobQuestion, SubmitOutcome
+from siskinroad.work.job_writer import JobWriter
+from siskinroad.work.messages import JobReply, JobRequest, SubmitOutcome
 from siskinroad.work.model import JobSpec, Queue, Setup
 from siskinroad.work.owner import PoolOwner
+from siskinroad.work.peer_calls import PeerCalls
 from siskinroad.work.records import Accepted, Cancelled, record_of
 from siskinroad.work.workmetrics import WorkMetrics
 
-__all__ = ["Desk", "Reply", "ReplyKind"]
+__all__ = ["CallerReply", "JobService", "ReplyKind"]
 
 # Seconds since the store's last answer after which new work is refused at once. A
 # silent store is probed every quarter of a second, so recovery is noticed soon; a
@@ -41,7 +41,7 @@
 RETRY_AFTER_FACTOR = 0.5
 MAX_RETRY_AFTER = 4.0
 
-log = logging.getLogger("siskinroad.desk")
+log = logging.getLogger("siskinroad.job_service")
 
 
 class ReplyKind(StrEnum):
@@ -56,7 +56,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Reply:
+class CallerReply:
     """The reply to one request of a caller.
 
     Attributes
@@ -78,16 +78,16 @@
     retry_after: float = 0.0
 
 
-def _refuse_for_now(reason: str, outage: float = 0.0) -> Reply:
+def _refuse_for_now(reason: str, outage: float = 0.0) -> CallerReply:
     """Refuse with a retry time that grows with the age of the outage.
 
     An outage that has lasted for a while is likely to last for as long again.
     """
     wait = min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, outage * RETRY_AFTER_FACTOR))
-    return Reply(ReplyKind.NOT_NOW, reason=reason, retry_after=wait)
+    return CallerReply(ReplyKind.NOT_NOW, reason=reason, retry_after=wait)
 
 
-class Desk:
+class JobService:
     """The job service that handles the requests of callers.
 
     Parameters
@@ -100,57 +100,59 @@
         Returns the daemon that owns a pool, or None.
     list_capacities : callable
         Returns the capacities of a pool's listed hosts.
-    store_heard_at : callable
+    last_store_answer_at : callable
         Returns the loop time of the store's last answer, direct or relayed.
     """
 
     def __init__(
         self,
         node: str,
-        intake: Intake,
-        calls: Calls,
+        job_writer: JobWriter,
+        peer_calls: PeerCalls,
         owners: dict[str, PoolOwner],
         find_owner: Callable[[str], str | None],
         list_capacities: Callable[[str], list[Resources]],
         metrics: WorkMetrics,
         wall: Callable[[], float],
-        store_heard_at: Callable[[], float],
+        last_store_answer_at: Callable[[], float],
     ) -> None:
         self.setup: Setup | None = None
         self.setup_at = 0.0
         self._node = node
-        self._intake = intake
-        self._calls = calls
+        self._job_writer = job_writer
+        self._peer_calls = peer_calls
         self._owners = owners
         self._find_owner = find_owner
         self._list_capacities = list_capacities
         self._metrics = metrics
         self._wall = wall
-        self._store_heard_at = store_heard_at
+        self._last_store_answer_at = last_store_answer_at
 
     def _store_age(self) -> float:
-        return asyncio.get_running_loop().time() - self._store_heard_at()
+        return asyncio.get_running_loop().time() - self._last_store_answer_at()
 
-    def find(self, virtual_host: str, path: str) -> Queue | Reply:
+    def find_queue(self, virtual_host: str, path: str) -> Queue | CallerReply:
         """Return the queue that serves a request, or the refusal if there is none."""
         if self.setup is None:
             return _refuse_for_now("no_configuration")
-        queue = self.setup.find(virtual_host, path)
-        return queue or Reply(ReplyKind.NO_QUEUE, reason="no_queue")
+        queue = self.setup.find_queue(virtual_host, path)
+        return queue or CallerReply(ReplyKind.NO_QUEUE, reason="no_queue")
 
     async def submit(
         self, queue: Queue, job: str, spec: JobSpec, deadline: float
-    ) -> Reply:
+    ) -> CallerReply:
         """Store a job; it is accepted once it is stored."""
         never = self._describe_unfit_step(queue, spec)
         if never:
-            return self._log_reply(job, "submit", Reply(ReplyKind.NEVER, reason=never))
+            return self._log_reply(
+                job, "submit", CallerReply(ReplyKind.NEVER, reason=never)
+            )
         if self._store_age() > STORE_SILENCE_LIMIT:
             reply = _refuse_for_now("store_silent", self._store_age())
             return self._log_reply(job, "submit", reply, queue)
         accepted = Accepted(job, queue.name, queue.pool, self._wall(), spec)
         until = deadline - DEADLINE_MARGIN
-        outcome = await self._intake.store(queue.pool, record_of(accepted), until)
+        outcome = await self._job_writer.store(queue.pool, record_of(accepted), until)
         reply = self._make_submit_reply(outcome)
         return self._log_reply(job, "submit", reply, queue)
 
@@ -163,102 +165,104 @@
                 return f"no host can hold a task of step {i}"
         return ""
 
-    def _make_submit_reply(self, outcome: SubmitOutcome) -> Reply:
+    def _make_submit_reply(self, outcome: SubmitOutcome) -> CallerReply:
         match outcome:
             case SubmitOutcome.STORED:
-                return Reply(ReplyKind.OK)
+                return CallerReply(ReplyKind.OK)
             case SubmitOutcome.NOT_DONE:
                 return _refuse_for_now("store_unavailable", self._store_age())
             case SubmitOutcome.UNKNOWN:
-                return Reply(ReplyKind.UNKNOWN, reason="store_did_not_answer")
+                return CallerReply(ReplyKind.UNKNOWN, reason="store_did_not_answer")
 
-    async def show(self, queue: Queue, job: str, deadline: float) -> Reply:
+    async def show(self, queue: Queue, job: str, deadline: float) -> CallerReply:
         """Return a job's state."""
         reply = await self._request_owner(queue.pool, "show", job, deadline)
         return self._log_reply(job, "show", reply, queue)
 
-    async def cancel(self, queue: Queue, job: str, deadline: float) -> Reply:
+    async def cancel(self, queue: Queue, job: str, deadline: float) -> CallerReply:
         """Cancel a job, through the store if its owner cannot be reached."""
         reply = await self._request_owner(queue.pool, "cancel", job, deadline)
         if reply.kind is ReplyKind.NOT_NOW:
             record = record_of(Cancelled(job, self._wall()))
             until = deadline - DEADLINE_MARGIN
-            outcome = await self._intake.store(queue.pool, record, until)
+            outcome = await self._job_writer.store(queue.pool, record, until)
             reply = self._make_submit_reply(outcome)
         return self._log_reply(job, "cancel", reply, queue)
 
-    async def pending(self, queue: Queue, deadline: float) -> Reply:
+    async def count_pending(self, queue: Queue, deadline: float) -> CallerReply:
         """Return how many jobs of a queue have not started."""
         reply = await self._request_owner(queue.pool, "pending", queue.name, deadline)
         return self._log_reply(queue.name, "pending", reply, queue)
 
     async def _request_owner(
         self, pool: str, verb: str, subject: str, deadline: float
-    ) -> Reply:
+    ) -> CallerReply:
         loop = asyncio.get_running_loop()
         reason = "no_owner"
         for attempt in range(OWNER_REQUEST_ATTEMPTS):
-            left = deadline - DEADLINE_MARGIN - loop.time()
-            if left <= 0.02:
+            remaining_s = deadline - DEADLINE_MARGIN - loop.time()
+            if remaining_s <= 0.02:
                 break
             if attempt:
-                await asyncio.sleep(min(OWNER_RETRY_PAUSE, left / 2))
+                await asyncio.sleep(min(OWNER_RETRY_PAUSE, remaining_s / 2))
                 self._metrics.retries.labels("owner").inc()
-            answer = await self._request_owner_once(
-                pool, verb, subject, min(OWNER_REQUEST_TIMEOUT, left)
+            owner_reply = await self._request_owner_once(
+                pool, verb, subject, min(OWNER_REQUEST_TIMEOUT, remaining_s)
             )
-            if answer is not None and not answer.unsure:
-                return _make_owner_reply(verb, answer)
-            if answer is not None:
-                reason = answer.unsure
+            if owner_reply is not None and not owner_reply.unknown_reason:
+                return _make_owner_reply(verb, owner_reply)
+            if owner_reply is not None:
+                reason = owner_reply.unknown_reason
         return _refuse_for_now(reason)
 
     async def _request_owner_once(
         self, pool: str, verb: str, subject: str, timeout: float
-    ) -> JobAnswer | None:
+    ) -> JobReply | None:
         node = self._find_owner(pool)
         if node is None:
             return None
         if node == self._node:
-            return await self.answer(JobQuestion(0, pool, verb, subject), timeout)
+            return await self.handle_request(
+                JobRequest(0, pool, verb, subject), timeout
+            )
         try:
-            return await self._calls.ask(
-                node, lambda n: JobQuestion(n, pool, verb, subject), JobAnswer, timeout
+            return await self._peer_calls.request(
+                node, lambda n: JobRequest(n, pool, verb, subject), JobReply, timeout
             )
         except SiskinroadError:
-            return JobAnswer(0, "owner_silent", "", 0)
+            return JobReply(0, "owner_silent", "", 0)
 
-    async def answer(
-        self, msg: JobQuestion, timeout: float = OWNER_REQUEST_TIMEOUT
-    ) -> JobAnswer:
+    async def handle_request(
+        self, msg: JobRequest, timeout: float = OWNER_REQUEST_TIMEOUT
+    ) -> JobReply:
         """Answer another daemon's request about a pool that this daemon owns."""
         owner = self._owners.get(msg.pool)
         if owner is None:
-            return JobAnswer(msg.id, "not_owner", "", 0)
+            return JobReply(msg.id, "not_owner", "", 0)
         try:
             match msg.verb:
                 case "show":
-                    return JobAnswer(msg.id, "", owner.show(msg.subject) or "", 0)
+                    return JobReply(msg.id, "", owner.show(msg.subject) or "", 0)
                 case "cancel":
                     known = await owner.cancel(msg.subject, timeout)
-                    return JobAnswer(msg.id, "", "cancelled" if known else "", 0)
+                    return JobReply(msg.id, "", "cancelled" if known else "", 0)
                 case "pending":
-                    return JobAnswer(msg.id, "", "", owner.pending_count(msg.subject))
+                    return JobReply(msg.id, "", "", owner.count_pending(msg.subject))
         except SiskinroadError as exc:
             log.warning(
-                "desk: question is not answered",
+                "job_service: owner could not answer the request",
                 extra={"request": msg.subject, "verb": msg.verb, "error": str(exc)},
             )
-            return JobAnswer(msg.id, "owner_unsure", "", 0)
-        return JobAnswer(msg.id, "unknown_verb", "", 0)
+            return JobReply(msg.id, "owner_unsure", "", 0)
+        return JobReply(msg.id, "unknown_verb", "", 0)
 
     def _log_reply(
-        self, subject: str, verb: str, reply: Reply, queue: Queue | None = None
-    ) -> Reply:
+        self, subject: str, verb: str, reply: CallerReply, queue: Queue | None = None
+    ) -> CallerReply:
         if reply.kind not in (ReplyKind.OK, ReplyKind.NO_JOB):
             self._metrics.refusals.labels(verb, reply.reason or reply.kind).inc()
         log.info(
-            "desk: answered",
+            "job_service: replied to caller",
             extra={
                 "request": subject,
                 "verb": verb,
@@ -274,9 +278,9 @@
         return reply
 
 
-def _make_owner_reply(verb: str, answer: JobAnswer) -> Reply:
+def _make_owner_reply(verb: str, owner_reply: JobReply) -> CallerReply:
     if verb == "pending":
-        return Reply(ReplyKind.OK, pending=answer.pending)
-    if not answer.state:
-        return Reply(ReplyKind.NO_JOB)
-    return Reply(ReplyKind.OK, state=answer.state)
+        return CallerReply(ReplyKind.OK, pending=owner_reply.pending)
+    if not owner_reply.state:
+        return CallerReply(ReplyKind.NO_JOB)
+    return CallerReply(ReplyKind.OK, state=owner_reply.state)
--- a/siskinroad/work/job_table.py
+++ b/siskinroad/work/job_table.py
@@ -107,7 +107,7 @@
             if job.closed or job.opened >= job.spec.occurrences:
                 self.timed.discard(job_id)
 
-    def pending_count(self, queue: str) -> int:
+    def count_pending(self, queue: str) -> int:
         """Return the number of open jobs of a queue that have not started."""
         return sum(
             1
--- a/siskinroad/work/intake.py
+++ b/siskinroad/work/job_writer.py
@@ -15,8 +15,8 @@
 
 from siskinroad.errors import SiskinroadError
 from siskinroad.work.batcher import Batcher
-from siskinroad.work.calls import Calls
 from siskinroad.work.messages import SubmitOutcome, SubmitReply, SubmitRequest
+from siskinroad.work.peer_calls import PeerCalls
 from siskinroad.work.records import job_topic
 from siskinroad.work.store import (
     Record,
@@ -26,7 +26,7 @@
 )
 from siskinroad.work.workmetrics import WorkMetrics
 
-__all__ = ["Intake"]
+__all__ = ["JobWriter"]
 
 # Seconds of the caller's time that are reserved for storing a job directly if the
 # job writer does not answer; the job writer has the rest.
@@ -34,10 +34,10 @@
 # Seconds of the job writer's time that are reserved for returning the reply.
 REPLY_MARGIN = 0.15
 
-log = logging.getLogger("siskinroad.intake")
+log = logging.getLogger("siskinroad.job_writer")
 
 
-class Intake:
+class JobWriter:
     """The component that appends records to the pools' job topics.
 
     Parameters
@@ -48,7 +48,7 @@
         Returns the job writer of a pool.
     is_alive : callable
         Returns whether a heartbeat of a daemon was received recently.
-    store_heard_at : callable
+    last_store_answer_at : callable
         Returns the loop time of the store's last answer, direct or relayed.
     """
 
@@ -56,18 +56,18 @@
         self,
         node: str,
         store: Store,
-        calls: Calls,
+        peer_calls: PeerCalls,
         find_job_writer: Callable[[str], str],
         is_alive: Callable[[str], bool],
-        store_heard_at: Callable[[], float],
+        last_store_answer_at: Callable[[], float],
         metrics: WorkMetrics,
     ) -> None:
         self._node = node
         self._store = store
-        self._calls = calls
+        self._peer_calls = peer_calls
         self._find_job_writer = find_job_writer
         self._is_alive = is_alive
-        self._store_heard_at = store_heard_at
+        self._last_store_answer_at = last_store_answer_at
         self._metrics = metrics
         self._batchers: dict[str, Batcher] = {}
 
@@ -93,20 +93,20 @@
         node = self._find_job_writer(pool)
         if node == self._node:
             return await self.append(pool, record, deadline)
-        left = deadline - asyncio.get_running_loop().time()
-        left = max(left - DIRECT_APPEND_TIME, left / 2)
+        remaining_s = deadline - asyncio.get_running_loop().time()
+        remaining_s = max(remaining_s - DIRECT_APPEND_TIME, remaining_s / 2)
         try:
-            reply = await self._calls.ask(
+            reply = await self._peer_calls.request(
                 node,
-                lambda n: SubmitRequest(n, pool, record.key, record.value, left),
+                lambda n: SubmitRequest(n, pool, record.key, record.value, remaining_s),
                 SubmitReply,
-                left,
+                remaining_s,
                 lambda: self._is_alive(node),
             )
         except SiskinroadError as exc:
             self._metrics.retries.labels("owner").inc()
             log.warning(
-                "intake: job writer did not answer; storing the job directly",
+                "job_writer: job writer did not answer; storing the job directly",
                 extra={"request": record.key, "peer": node, "error": str(exc)},
             )
             return None
@@ -114,7 +114,7 @@
 
     async def accept(self, msg: SubmitRequest) -> SubmitReply:
         """Store a job on behalf of another daemon."""
-        deadline = asyncio.get_running_loop().time() + msg.left - REPLY_MARGIN
+        deadline = asyncio.get_running_loop().time() + msg.remaining_s - REPLY_MARGIN
         record = Record(msg.key, msg.value)
         return SubmitReply(msg.id, await self.append(msg.pool, record, deadline))
 
@@ -122,7 +122,7 @@
         """Append a record, batched with others that arrive meanwhile."""
         batcher = self._batchers.get(pool)
         if batcher is None:
-            batcher = Batcher(self._store, job_topic(pool), self._store_heard_at)
+            batcher = Batcher(self._store, job_topic(pool), self._last_store_answer_at)
             self._batchers[pool] = batcher
         try:
             await batcher.put(record, deadline)
@@ -141,12 +141,12 @@
         self._metrics.retries.labels(label).inc()
         now = asyncio.get_running_loop().time()
         log.info(
-            "intake: not stored",
+            "job_writer: job record not stored or outcome unknown",
             extra={
                 "request": record.key,
                 "pool": pool,
                 "outcome": outcome.value,
-                "store_age_s": round(now - self._store_heard_at(), 2),
+                "store_age_s": round(now - self._last_store_answer_at(), 2),
                 "error": str(exc),
             },
         )
--- a/siskinroad/work/messages.py
+++ b/siskinroad/work/messages.py
@@ -14,8 +14,8 @@
     "AdviceRequest",
     "Beat",
     "Hello",
-    "JobAnswer",
-    "JobQuestion",
+    "JobReply",
+    "JobRequest",
     "Message",
     "RelayReply",
     "RelayRequest",
@@ -70,7 +70,7 @@
     region: str
 
 
-class JobQuestion(msgspec.Struct, tag="job?", frozen=True, array_like=True):
+class JobRequest(msgspec.Struct, tag="job?", frozen=True, array_like=True):
     """Request to a pool's owner about a job or a queue.
 
     ``verb`` is ``show`` for a job's state, ``cancel`` to cancel a job, or ``pending``
@@ -84,15 +84,15 @@
     subject: str
 
 
-class JobAnswer(msgspec.Struct, tag="job!", frozen=True, array_like=True):
-    """Reply to a ``JobQuestion``.
+class JobReply(msgspec.Struct, tag="job!", frozen=True, array_like=True):
+    """Reply to a ``JobRequest``.
 
-    ``state`` is empty if there is no such job. ``unsure`` is the reason why the sender
-    cannot tell; it is empty if it can.
+    ``state`` is empty if there is no such job. ``unknown_reason`` is the reason why the
+    sender cannot tell; it is empty if it can.
     """
 
     id: int
-    unsure: str
+    unknown_reason: str
     state: str
     pending: int
 
@@ -108,14 +108,14 @@
 class SubmitRequest(msgspec.Struct, tag="submit?", frozen=True, array_like=True):
     """Request to the pool's job writer to store a record.
 
-    ``left`` is the time in seconds for which the caller still waits.
+    ``remaining_s`` is the time in seconds for which the caller still waits.
     """
 
     id: int
     pool: str
     key: str
     value: bytes
-    left: float
+    remaining_s: float
 
 
 class SubmitReply(msgspec.Struct, tag="submit!", frozen=True, array_like=True):
@@ -177,8 +177,8 @@
 Message = (
     Beat
     | Hello
-    | JobQuestion
-    | JobAnswer
+    | JobRequest
+    | JobReply
     | AdviceRequest
     | AdviceReply
     | RelayRequest
--- a/siskinroad/work/model.py
+++ b/siskinroad/work/model.py
@@ -183,7 +183,7 @@
     pools: tuple[str, ...]
     max_body: int
 
-    def find(self, virtual_host: str, path: str) -> Queue | None:
+    def find_queue(self, virtual_host: str, path: str) -> Queue | None:
         """Return the queue with the longest prefix that matches ``path``."""
         best: Queue | None = None
         for queue in self.queues:
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -349,7 +349,7 @@
             ) from None
         return True
 
-    def pending_count(self, queue: str) -> int:
+    def count_pending(self, queue: str) -> int:
         """Return the number of accepted jobs of a queue that have not started."""
         self._require_fresh_records()
-        return self.pool_state.pending_count(queue)
+        return self.pool_state.count_pending(queue)
--- a/siskinroad/work/calls.py
+++ b/siskinroad/work/peer_calls.py
@@ -11,7 +11,7 @@
 from siskinroad.peers import Peers
 from siskinroad.work.messages import Message
 
-__all__ = ["Calls"]
+__all__ = ["PeerCalls"]
 
 # Seconds between two checks of whether waiting for a reply is still worthwhile. A
 # larger value delays the failure of requests to a daemon that has died.
@@ -20,7 +20,7 @@
 T = TypeVar("T")
 
 
-class Calls:
+class PeerCalls:
     """Client that numbers its requests and matches replies to them.
 
     Parameters
@@ -37,13 +37,13 @@
         self._request_ids = itertools.count(first_id)
         self._pending: dict[int, asyncio.Future[Message]] = {}
 
-    async def ask(
+    async def request(
         self,
         peer: str,
         make_request: Callable[[int], Message],
         reply_type: type[T],
         timeout: float,
-        alive: Callable[[], bool] = lambda: True,
+        should_keep_waiting: Callable[[], bool] = lambda: True,
     ) -> T:
         """Send the request that ``make_request`` returns and wait for its reply.
 
@@ -57,7 +57,7 @@
             Expected type of the reply.
         timeout : float
             Longest wait in seconds.
-        alive : callable
+        should_keep_waiting : callable
             Returns whether to keep waiting, such as whether the peer is alive; called
             every ``LIVENESS_CHECK_INTERVAL`` seconds.
 
@@ -65,14 +65,14 @@
         ------
         OutcomeUnknownError
             If no reply of type ``reply_type`` arrived before the timeout, or before
-            ``alive`` returned False.
+            ``should_keep_waiting`` returned False.
         """
         request_id = next(self._request_ids)
         future: asyncio.Future[Message] = asyncio.get_running_loop().create_future()
         self._pending[request_id] = future
         self._peers.send(peer, make_request(request_id))
         try:
-            await self._wait_for_reply(future, timeout, alive)
+            await self._wait_for_reply(future, timeout, should_keep_waiting)
         finally:
             del self._pending[request_id]
         if not future.done():
@@ -89,17 +89,20 @@
         return reply
 
     async def _wait_for_reply(
-        self, future: asyncio.Future[Message], timeout: float, alive: Callable[[], bool]
+        self,
+        future: asyncio.Future[Message],
+        timeout: float,
+        should_keep_waiting: Callable[[], bool],
     ) -> None:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout
-        while not future.done() and loop.time() < deadline and alive():
+        while not future.done() and loop.time() < deadline and should_keep_waiting():
             remaining = deadline - loop.time()
             await asyncio.wait(
                 [future], timeout=min(remaining, LIVENESS_CHECK_INTERVAL)
             )
 
-    def answered(self, request_id: int, reply: Message) -> None:
+    def handle_reply(self, request_id: int, reply: Message) -> None:
         """Match a reply to its request; drop it if the request no longer waits."""
         future = self._pending.get(request_id)
         if future is not None and not future.done():
--- a/siskinroad/work/relay.py
+++ b/siskinroad/work/relay.py
@@ -18,8 +18,8 @@
 import msgspec
 
 from siskinroad.errors import SiskinroadError
-from siskinroad.work.calls import Calls
 from siskinroad.work.messages import RelayReply, RelayRequest
+from siskinroad.work.peer_calls import PeerCalls
 from siskinroad.work.store import (
     Fence,
     FencedError,
@@ -110,7 +110,7 @@
     ----------
     direct : Store
         Client for direct calls to the store.
-    calls : Calls
+    peer_calls : PeerCalls
         Requests to the other daemons.
     relay_peers : callable
         Returns the live daemons that the store has answered recently.
@@ -128,10 +128,10 @@
     """
 
     def __init__(
-        self, direct: Store, calls: Calls, relay_peers: Callable[[], list[str]]
+        self, direct: Store, peer_calls: PeerCalls, relay_peers: Callable[[], list[str]]
     ) -> None:
         self.direct = direct
-        self._calls = calls
+        self._peer_calls = peer_calls
         self._relay_peers = relay_peers
         self._direct_failed = False
         self._next_probe_at = -1e9
@@ -293,7 +293,7 @@
             extra={"peer": relay_peer, "call": type(call).__name__.strip("_").lower()},
         )
         try:
-            reply = await self._calls.ask(
+            reply = await self._peer_calls.request(
                 relay_peer,
                 lambda request_id: RelayRequest(request_id, data, timeout),
                 RelayReply,
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -109,11 +109,11 @@
 
 def test_configuration_is_decoded():
     setup = PlatformDecoder().setup("config", msgspec.json.encode(CONFIG))
-    queue = setup.find("ficu95.example", "/pule252/5c0e7a21d94b36f8")
+    queue = setup.find_queue("ficu95.example", "/pule252/5c0e7a21d94b36f8")
     assert queue.pool == "wuno96b" and queue.target == 0.4
     assert queue.advice == Advice(0.01, 0.001, 2.0)
-    assert setup.find("ficu95.example", "/other/") is None
-    assert setup.find("other.example", "/pule252/5c0e7a21d94b36f8") is None
+    assert setup.find_queue("ficu95.example", "/other/") is None
+    assert setup.find_queue("other.example", "/pule252/5c0e7a21d94b36f8") is None
 
 
 def test_host_report_is_decoded():
--- a/tests/work/cell.py
+++ b/tests/work/cell.py
@@ -138,11 +138,13 @@
         return asyncio.get_running_loop().time() + seconds
 
     async def submit(self, name, job_id, spec, queue=FAST):
-        desk = self.daemons[name].desk
-        return await desk.submit(queue, job_id, spec, self.deadline())
+        job_service = self.daemons[name].job_service
+        return await job_service.submit(queue, job_id, spec, self.deadline())
 
     async def state(self, name, job_id, queue=FAST):
-        reply = await self.daemons[name].desk.show(queue, job_id, self.deadline())
+        reply = await self.daemons[name].job_service.show(
+            queue, job_id, self.deadline()
+        )
         return reply.state or reply.kind.value
 
     async def wait_for_state(self, job_id, state, seconds=20.0):
--- a/tests/work/test_advisor_channels.py
+++ b/tests/work/test_advisor_channels.py
@@ -7,8 +7,8 @@
 from siskinroad.peers import MemoryNetwork
 from siskinroad.work.advice import AdviceResult, Advisor
 from siskinroad.work.advisor_channels import AdvisorChannels, ChannelTimes
-from siskinroad.work.calls import Calls
 from siskinroad.work.messages import AdviceReply, AdviceRequest
+from siskinroad.work.peer_calls import PeerCalls
 from tests.work.cell import CODEC
 
 NAMES = ("a", "b", "c", "d")
@@ -33,16 +33,16 @@
     clients, tasks = {}, []
     for name in NAMES:
         peers = network.join(name, CODEC)
-        calls = Calls(peers, 0)
+        peer_calls = PeerCalls(peers, 0)
         others = [n for n in NAMES if n != name]
         client = AdvisorChannels(
-            name, SequentialAdvisor(), calls, lambda others=others: others
+            name, SequentialAdvisor(), peer_calls, lambda others=others: others
         )
 
-        def receive(peer, msg, client=client, calls=calls, peers=peers):
+        def receive(peer, msg, client=client, peer_calls=peer_calls, peers=peers):
             match msg:
                 case AdviceReply():
-                    calls.answered(msg.id, msg)
+                    peer_calls.handle_reply(msg.id, msg)
                 case AdviceRequest():
                     reply = serve(client, peers, peer, msg)
                     tasks.append(asyncio.ensure_future(reply))
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -448,7 +448,9 @@
         await cell.start_daemons("a", "b")
         await cell.submit("a", JOB_ID, job(step(2), step(2, after=(0,))))
         await asyncio.sleep(0.3)
-        reply = await cell.daemons["b"].desk.cancel(ADVISED, JOB_ID, cell.deadline())
+        reply = await cell.daemons["b"].job_service.cancel(
+            ADVISED, JOB_ID, cell.deadline()
+        )
         assert reply.kind == "ok"
         await asyncio.sleep(4)
         assert await cell.state("b", JOB_ID) == "cancelled"
@@ -467,7 +469,7 @@
         host.unanswered_starts = 3
         await cell.submit("a", JOB_ID, job(step(8)))
         await asyncio.sleep(0.1)
-        await cell.daemons["a"].desk.cancel(ADVISED, JOB_ID, cell.deadline())
+        await cell.daemons["a"].job_service.cancel(ADVISED, JOB_ID, cell.deadline())
         await asyncio.sleep(4)
         assert not host.starts
         await cell.submit("a", "00000000000000bb", job(step(8)))
@@ -542,8 +544,8 @@
     async def scenario(cell):
         cell.advisor.denied = {"i-0", "i-2"}
         await cell.start_daemons("a", "b")
-        desk = cell.daemons["a"].desk
-        await desk.submit(ADVISED, JOB_ID, job(step(3)), cell.deadline())
+        job_service = cell.daemons["a"].job_service
+        await job_service.submit(ADVISED, JOB_ID, job(step(3)), cell.deadline())
         await cell.wait_for_state(JOB_ID, "complete")
         assert {s.host for s in cell.hosts.starts()} == {"i-1"}
 
--- a/tests/work/test_hard_cases.py
+++ b/tests/work/test_hard_cases.py
@@ -132,9 +132,9 @@
         await asyncio.gather(*(cell.submit("a", name, large) for name in names))
         await asyncio.sleep(0.2)
         await cell.kill(cell.owner())
-        desk = next(iter(cell.daemons.values())).desk
+        job_service = next(iter(cell.daemons.values())).job_service
         replies = await asyncio.gather(
-            *(desk.cancel(ADVISED, name, cell.deadline(5.0)) for name in names)
+            *(job_service.cancel(ADVISED, name, cell.deadline(5.0)) for name in names)
         )
         assert {reply.kind for reply in replies} == {"ok"}
         acknowledged = asyncio.get_running_loop().time()
