--- a/siskinroad/work/claim.py
+++ b/siskinroad/work/claim.py
@@ -23,16 +23,16 @@
     Progress,
     Released,
     Stored,
+    decode_stored,
     job_topic,
     progress_topic,
     record_of,
-    unpack,
 )
 from siskinroad.work.store import (
     Fence,
-    Newest,
+    NewestRecord,
     Store,
-    newest_of_all,
+    read_all_newest,
 )
 
 __all__ = ["PRODUCER", "Inheritance", "OwnedError", "claim_pool", "release_pool"]
@@ -66,7 +66,7 @@
         The newest term whose owner released the pool in an orderly way.
     claimed_at : float
         Loop time at which the claim was sent.
-    next : int
+    next_offset : int
         Offset from which to continue reading the topic of accepted jobs.
     """
 
@@ -75,7 +75,7 @@
     former_term: int = 0
     released_term: int = 0
     claimed_at: float = 0.0
-    next: int = 0
+    next_offset: int = 0
     accepted: dict[str, Accepted] = field(default_factory=dict)
     cancelled: dict[str, Cancelled] = field(default_factory=dict)
     progress: dict[str, Progress] = field(default_factory=dict)
@@ -107,13 +107,15 @@
                 self.hosts = stored
 
 
-def take_records(inherited: Inheritance, items: tuple[Newest, ...], topic: str) -> None:
+def take_records(
+    inherited: Inheritance, items: tuple[NewestRecord, ...], topic: str
+) -> None:
     """Apply records; unreadable ones are logged and skipped."""
     for item in items:
         if not item.value:
             continue
         try:
-            inherited.take(unpack(item.value), item.offset)
+            inherited.take(decode_stored(item.value), item.offset)
         except ProtocolError as exc:
             log.error(
                 "claim: cannot decode a stored record; skipping it",
@@ -144,7 +146,7 @@
         If the pool still has a live owner; nothing was claimed.
     """
     topic = job_topic(pool)
-    page = await newest_of_all(store, topic, STORE_TIMEOUT)
+    page = await read_all_newest(store, topic, STORE_TIMEOUT)
     inherited = Inheritance()
     take_records(inherited, page.items, topic)
     former = inherited.former
@@ -158,7 +160,7 @@
         )
     inherited.claimed_at = asyncio.get_running_loop().time()
     offset = await store.append(topic, [record_of(owner)], timeout=STORE_TIMEOUT)
-    inherited.term = inherited.next = offset + 1
+    inherited.term = inherited.next_offset = offset + 1
     # From here on the store rejects progress records of every lower term.
     fence = Fence(PRODUCER, inherited.term, 0)
     await store.append(progress_topic(pool), [], fence=fence, timeout=STORE_TIMEOUT)
@@ -171,7 +173,7 @@
 
 async def _read_progress(store: Store, pool: str, inherited: Inheritance) -> None:
     topic = progress_topic(pool)
-    page = await newest_of_all(store, topic, STORE_TIMEOUT)
+    page = await read_all_newest(store, topic, STORE_TIMEOUT)
     take_records(inherited, page.items, topic)
 
 
@@ -180,17 +182,17 @@
 ) -> None:
     """Apply the records between the end of the first read and the claim."""
     while start < end:
-        tail = await store.read(topic, start, wait=0.0, timeout=STORE_TIMEOUT)
+        result = await store.read(topic, start, wait=0.0, timeout=STORE_TIMEOUT)
         items = tuple(
-            Newest(record.key, record.value, start + i)
-            for i, record in enumerate(tail.records)
+            NewestRecord(record.key, record.value, start + i)
+            for i, record in enumerate(result.records)
         )
         take_records(
             inherited, tuple(item for item in items if item.offset < end), topic
         )
-        if tail.next <= start:
+        if result.next_offset <= start:
             return
-        start = tail.next
+        start = result.next_offset
 
 
 async def release_pool(store: Store, pool: str, term: int) -> None:
--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -35,11 +35,11 @@
 from siskinroad.work.records import (
     MEMBERS_TOPIC,
     Member,
+    decode_stored,
     record_of,
-    unpack,
 )
 from siskinroad.work.relay import RelayStore
-from siskinroad.work.store import Newest
+from siskinroad.work.store import NewestRecord
 from siskinroad.work.term import OwnerParts
 from siskinroad.work.watch import StoreWatch
 from siskinroad.work.workmetrics import WorkMetrics
@@ -214,7 +214,9 @@
 
     async def _is_store_reachable(self) -> bool:
         try:
-            await self.store.read(MEMBERS_TOPIC, self.members_follower.next, wait=0.0)
+            await self.store.read(
+                MEMBERS_TOPIC, self.members_follower.next_offset, wait=0.0
+            )
         except SiskinroadError as exc:
             log.info(
                 "daemon: store does not answer; keeping the pools while draining",
@@ -250,16 +252,18 @@
                 continue
             return
 
-    def _apply_members(self, items: tuple[Newest, ...], is_snapshot: bool) -> None:
+    def _apply_members(
+        self, items: tuple[NewestRecord, ...], is_snapshot: bool
+    ) -> None:
         if is_snapshot:
             self.members.forget_all_but({item.key for item in items})
         for item in items:
             if item.value:
                 self._apply_member_record(item)
 
-    def _apply_member_record(self, item: Newest) -> None:
+    def _apply_member_record(self, item: NewestRecord) -> None:
         try:
-            member = unpack(item.value)
+            member = decode_stored(item.value)
         except SiskinroadError as exc:
             log.error(
                 "daemon: member record cannot be decoded; ignoring it",
@@ -328,7 +332,7 @@
 
     # Configuration and hosts
 
-    def _apply_setups(self, items: tuple[Newest, ...], is_snapshot: bool) -> None:
+    def _apply_setups(self, items: tuple[NewestRecord, ...], is_snapshot: bool) -> None:
         for item in items:
             setup = self.outside.decoder.setup(item.key, item.value)
             if setup is not None:
@@ -346,7 +350,9 @@
         for owner in self.owners.values():
             owner.configure(setup)
 
-    def _apply_host_list(self, items: tuple[Newest, ...], is_snapshot: bool) -> None:
+    def _apply_host_list(
+        self, items: tuple[NewestRecord, ...], is_snapshot: bool
+    ) -> None:
         if is_snapshot:
             self.hosts.clear()
         for item in items:
--- a/siskinroad/work/follow.py
+++ b/siskinroad/work/follow.py
@@ -9,12 +9,12 @@
 
 from siskinroad.errors import SiskinroadError
 from siskinroad.work.store import (
-    Newest,
+    NewestRecord,
+    ReadResult,
     Store,
     StoreUnavailableError,
-    Tail,
     TrimmedError,
-    newest_of_all,
+    read_all_newest,
 )
 
 __all__ = ["Follower"]
@@ -27,16 +27,16 @@
 
 log = logging.getLogger("siskinroad.follow")
 
-Apply = Callable[[tuple[Newest, ...], bool], None]
+Apply = Callable[[tuple[NewestRecord, ...], bool], None]
 
 
 @dataclass(slots=True, frozen=True)
-class _ReadResult:
+class _FetchResult:
     """The result of one read; ``is_snapshot`` as for ``Follower``'s ``apply``."""
 
-    items: tuple[Newest, ...]
+    items: tuple[NewestRecord, ...]
     is_snapshot: bool
-    next: int
+    next_offset: int
     confirmed_at: float
 
 
@@ -71,7 +71,7 @@
     ) -> None:
         self.store = store
         self.topic = topic
-        self.next = -1
+        self.next_offset = -1
         self.confirmed_at = -1e9
         self.reachable = True
         self._apply = apply
@@ -118,46 +118,56 @@
             await asyncio.sleep(self._spacing)
         return FIRST_RETRY_PAUSE
 
-    async def _fetch(self) -> _ReadResult:
-        if self.next < 0:
+    async def _fetch(self) -> _FetchResult:
+        if self.next_offset < 0:
             return await self._read_newest()
         try:
-            return await self._read_tail()
+            return await self._read_later_records()
         except TrimmedError as exc:
             log.warning(
                 "follow: records trimmed; reading the newest record of each key",
-                extra={"topic": self.topic, "from": self.next, "first": exc.first},
+                extra={
+                    "topic": self.topic,
+                    "from": self.next_offset,
+                    "first": exc.first,
+                },
             )
             return await self._read_newest()
 
-    async def _read_newest(self) -> _ReadResult:
+    async def _read_newest(self) -> _FetchResult:
         sent_at = asyncio.get_running_loop().time()
-        page = await newest_of_all(self.store, self.topic, REPLY_TIMEOUT)
+        page = await read_all_newest(self.store, self.topic, REPLY_TIMEOUT)
         self._reject_stale(page.end)
         items = sorted(page.items, key=lambda item: item.offset)
-        return _ReadResult(tuple(items), True, page.end, sent_at)
+        return _FetchResult(tuple(items), True, page.end, sent_at)
 
-    async def _read_tail(self) -> _ReadResult:
+    async def _read_later_records(self) -> _FetchResult:
         sent_at = asyncio.get_running_loop().time()
-        tail = await self.store.read(
-            self.topic, self.next, wait=self._wait, timeout=self._wait + REPLY_TIMEOUT
+        result = await self.store.read(
+            self.topic,
+            self.next_offset,
+            wait=self._wait,
+            timeout=self._wait + REPLY_TIMEOUT,
         )
-        self._reject_stale(tail.end)
-        at_end = tail.next >= tail.end
+        self._reject_stale(result.end)
+        at_end = result.next_offset >= result.end
         confirmed_at = sent_at if at_end else self.confirmed_at
-        return _ReadResult(_with_offsets(tail), False, tail.next, confirmed_at)
+        return _FetchResult(
+            _with_offsets(result), False, result.next_offset, confirmed_at
+        )
 
-    def _apply_result(self, result: _ReadResult) -> None:
+    def _apply_result(self, result: _FetchResult) -> None:
         if result.items or result.is_snapshot:
             self._apply(result.items, result.is_snapshot)
-        self.next = result.next
+        self.next_offset = result.next_offset
         self.confirmed_at = result.confirmed_at
 
     def _reject_stale(self, end: int) -> None:
         """Raise if a reply is older than what has already been read."""
-        if end < self.next:
+        if end < self.next_offset:
             text = (
-                f"stale reply: the topic ends at {end}, already read up to {self.next}"
+                f"stale reply: the topic ends at {end}, "
+                f"already read up to {self.next_offset}"
             )
             raise StoreUnavailableError(text, step="follow")
 
@@ -167,12 +177,13 @@
         self.reachable = reachable
         text = "follow: topic is read again" if reachable else "follow: topic not read"
         log.warning(
-            text, extra={"topic": self.topic, "next": self.next, "error": str(exc)}
+            text,
+            extra={"topic": self.topic, "next": self.next_offset, "error": str(exc)},
         )
 
 
-def _with_offsets(tail: Tail) -> tuple[Newest, ...]:
+def _with_offsets(result: ReadResult) -> tuple[NewestRecord, ...]:
     return tuple(
-        Newest(record.key, record.value, tail.start + i)
-        for i, record in enumerate(tail.records)
+        NewestRecord(record.key, record.value, result.start + i)
+        for i, record in enumerate(result.records)
     )
--- a/siskinroad/work/job.py
+++ b/siskinroad/work/job.py
@@ -7,7 +7,7 @@
 from siskinroad.charts import load_chart
 from siskinroad.work.host import Run
 from siskinroad.work.model import JobSpec, Step, TaskId
-from siskinroad.work.records import Accepted, Progress, TaskNote
+from siskinroad.work.records import Accepted, Progress, TaskProgress
 
 __all__ = ["Job", "JobState", "StepRun", "Task", "make_job"]
 
@@ -66,10 +66,10 @@
         """Return whether the chart has ``event`` in this state."""
         return _TASK.allows(self.state, event)
 
-    def make_note(self) -> TaskNote:
+    def make_task_progress(self) -> TaskProgress:
         """Return the part of the task's state that is stored."""
         key = self.id
-        return TaskNote(
+        return TaskProgress(
             key.occurrence,
             key.step,
             key.index,
@@ -218,7 +218,7 @@
     def progress(self) -> Progress:
         """Return the progress record of the job's current state."""
         notes = tuple(
-            task.make_note()
+            task.make_task_progress()
             for step in self.steps.values()
             for task in step.tasks
             if (task.run or task.state == "done") and not self.outcome
@@ -236,7 +236,7 @@
             if task is None:
                 continue
             task.run = note.run
-            task.failures = set(note.failed)
+            task.failures = set(note.failed_runs)
             task.checkpoint = note.checkpoint
             self.started = True
             if note.done:
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -26,11 +26,11 @@
     OWNER_KEY,
     Accepted,
     Cancelled,
+    decode_stored,
     job_topic,
-    unpack,
 )
 from siskinroad.work.run_monitor import RunMonitor
-from siskinroad.work.store import Newest, StoreUnknownError
+from siskinroad.work.store import NewestRecord, StoreUnknownError
 from siskinroad.work.term import RIGHT_TIME, OwnerParts, Term
 
 __all__ = ["Deposed", "PoolOwner"]
@@ -80,7 +80,7 @@
         self._former_released = inherited.released_term >= inherited.former_term
         self._load_inherited(inherited)
         self.follower = Follower(parts.store, job_topic(pool), self._apply_records)
-        self.follower.next = inherited.next
+        self.follower.next_offset = inherited.next_offset
         # The claim has read every record before its own.
         self.follower.confirmed_at = asyncio.get_running_loop().time()
 
@@ -204,7 +204,9 @@
 
     # Accepted jobs
 
-    def _apply_records(self, items: tuple[Newest, ...], is_snapshot: bool) -> None:
+    def _apply_records(
+        self, items: tuple[NewestRecord, ...], is_snapshot: bool
+    ) -> None:
         self._check_claims(items)
         now = asyncio.get_running_loop().time()
         wall = self.parts.wall()
@@ -213,7 +215,7 @@
                 self._apply_record(item, now, wall)
         self.term.plan_wanted.set()
 
-    def _check_claims(self, items: tuple[Newest, ...]) -> None:
+    def _check_claims(self, items: tuple[NewestRecord, ...]) -> None:
         """Raise before any job is accepted that was stored after a later claim."""
         for item in items:
             if item.key == OWNER_KEY and item.offset + 1 > self.term.number:
@@ -223,9 +225,9 @@
                     step="owner",
                 )
 
-    def _apply_record(self, item: Newest, now: float, wall: float) -> None:
+    def _apply_record(self, item: NewestRecord, now: float, wall: float) -> None:
         try:
-            stored = unpack(item.value)
+            stored = decode_stored(item.value)
         except SiskinroadError as exc:
             log.error(
                 "owner: job record cannot be decoded; ignoring it",
--- a/siskinroad/work/records.py
+++ b/siskinroad/work/records.py
@@ -24,12 +24,12 @@
     "Progress",
     "Released",
     "Stored",
-    "TaskNote",
+    "TaskProgress",
+    "decode_stored",
+    "encode_stored",
     "job_topic",
-    "pack",
     "progress_topic",
     "record_of",
-    "unpack",
 ]
 
 MEMBERS_TOPIC = "members"
@@ -85,10 +85,10 @@
     region: str
 
 
-class TaskNote(msgspec.Struct, frozen=True, array_like=True):
+class TaskProgress(msgspec.Struct, frozen=True, array_like=True):
     """Durable state of a task that has been started.
 
-    ``failed`` lists the runs that failed through the task's own fault. With their
+    ``failed_runs`` lists the runs that failed through the task's own fault. With their
     numbers stored, an end that a host reports again to another owner is not counted
     twice, in whatever order the ends arrive.
     """
@@ -98,7 +98,7 @@
     index: int
     done: bool
     run: int
-    failed: tuple[int, ...]
+    failed_runs: tuple[int, ...]
     checkpoint: str
 
 
@@ -111,7 +111,7 @@
     job: str
     state: str
     at: float
-    notes: tuple[TaskNote, ...]
+    notes: tuple[TaskProgress, ...]
 
 
 class HostSet(msgspec.Struct, tag="hosts", frozen=True):
@@ -147,12 +147,12 @@
     return f"progress.{pool}"
 
 
-def pack(stored: Stored) -> bytes:
+def encode_stored(stored: Stored) -> bytes:
     """Encode a value for the store."""
     return _ENCODER.encode(stored)
 
 
-def unpack(value: bytes) -> Stored:
+def decode_stored(value: bytes) -> Stored:
     """Decode a value from the store.
 
     Raises
@@ -181,4 +181,4 @@
             key = HOSTS_KEY
         case Member(node=node):
             key = node
-    return Record(key, pack(stored))
+    return Record(key, encode_stored(stored))
--- a/siskinroad/work/relay.py
+++ b/siskinroad/work/relay.py
@@ -23,14 +23,14 @@
 from siskinroad.work.store import (
     Fence,
     FencedError,
-    Newest,
     NewestPage,
+    NewestRecord,
+    OffsetMismatchError,
+    ReadResult,
     Record,
     Store,
     StoreUnavailableError,
     StoreUnknownError,
-    Tail,
-    TailMovedError,
     TrimmedError,
 )
 
@@ -78,12 +78,12 @@
 
 
 class _Page(msgspec.Struct, tag="page", frozen=True):
-    items: tuple[Newest, ...]
+    items: tuple[NewestRecord, ...]
     more: bool
     end: int
 
 
-class _TailMoved(msgspec.Struct, tag="moved", frozen=True):
+class _OffsetMismatch(msgspec.Struct, tag="moved", frozen=True):
     end: int
 
 
@@ -96,7 +96,7 @@
 
 
 _StoreCall = _Append | _Read | _Newest
-_StoreResult = _Offset | _Records | _Page | _TailMoved | _Fenced | _Trimmed
+_StoreResult = _Offset | _Records | _Page | _OffsetMismatch | _Fenced | _Trimmed
 
 _ENCODE = msgspec.msgpack.Encoder().encode
 _CALL_DECODER = msgspec.msgpack.Decoder(_StoreCall)
@@ -172,7 +172,7 @@
 
     async def read(
         self, topic: str, start: int, *, wait: float, timeout: float = 1.0
-    ) -> Tail:
+    ) -> ReadResult:
         """Read records; see the base class."""
         answer = await self._call_store(
             _Read(topic, start, wait),
@@ -182,7 +182,7 @@
             repeatable=True,
         )
         if isinstance(answer, _Records):
-            return Tail(answer.start, answer.records, answer.end)
+            return ReadResult(answer.start, answer.records, answer.end)
         return answer
 
     async def newest(
@@ -235,7 +235,7 @@
         """Make a direct call and record whether the store answered it."""
         try:
             answer = await direct()
-        except (TailMovedError, FencedError, TrimmedError):
+        except (OffsetMismatchError, FencedError, TrimmedError):
             self.answered()
             raise
         except SiskinroadError:
@@ -312,8 +312,8 @@
         self.relayed_answer_at = asyncio.get_running_loop().time()
         answer = _RESULT_DECODER.decode(reply.answer)
         match answer:
-            case _TailMoved(end=end):
-                raise TailMovedError(end)
+            case _OffsetMismatch(end=end):
+                raise OffsetMismatchError(end)
             case _Fenced():
                 raise FencedError(
                     "append has a lower epoch than the store has seen",
@@ -354,15 +354,15 @@
                     )
                     return _Offset(offset)
                 case _Read(topic=topic, start=start, wait=wait):
-                    tail = await self.direct.read(
+                    result = await self.direct.read(
                         topic, start, wait=wait, timeout=timeout
                     )
-                    return _Records(tail.start, tail.records, tail.end)
+                    return _Records(result.start, result.records, result.end)
                 case _Newest(topic=topic, after=after):
                     page = await self.direct.newest(topic, after, timeout=timeout)
                     return _Page(page.items, page.more, page.end)
-        except TailMovedError as exc:
-            return _TailMoved(exc.end)
+        except OffsetMismatchError as exc:
+            return _OffsetMismatch(exc.end)
         except FencedError:
             return _Fenced()
         except TrimmedError as exc:
--- a/siskinroad/work/store.py
+++ b/siskinroad/work/store.py
@@ -12,16 +12,16 @@
 __all__ = [
     "Fence",
     "FencedError",
-    "Newest",
     "NewestPage",
+    "NewestRecord",
+    "OffsetMismatchError",
+    "ReadResult",
     "Record",
     "Store",
     "StoreUnavailableError",
     "StoreUnknownError",
-    "Tail",
-    "TailMovedError",
     "TrimmedError",
-    "newest_of_all",
+    "read_all_newest",
 ]
 
 
@@ -37,7 +37,7 @@
     """The append was rejected because a higher epoch of the producer was seen."""
 
 
-class TailMovedError(SiskinroadError):
+class OffsetMismatchError(SiskinroadError):
     """The partition does not end at the offset that the append required."""
 
     def __init__(self, end: int, *, step: str = "store.append") -> None:
@@ -65,7 +65,7 @@
     value: bytes
 
 
-class Newest(msgspec.Struct, frozen=True):
+class NewestRecord(msgspec.Struct, frozen=True):
     """The newest record of a key, with its offset."""
 
     key: str
@@ -79,7 +79,7 @@
 
     Attributes
     ----------
-    items : tuple of Newest
+    items : tuple of NewestRecord
         The newest record of each key of the page.
     more : bool
         Whether further keys follow the last one of ``items``.
@@ -87,13 +87,13 @@
         Offset that the next append got when the page was read.
     """
 
-    items: tuple[Newest, ...]
+    items: tuple[NewestRecord, ...]
     more: bool
     end: int
 
 
 @dataclass(slots=True, frozen=True)
-class Tail:
+class ReadResult:
     """The records that a read returned.
 
     Attributes
@@ -111,7 +111,7 @@
     end: int
 
     @property
-    def next(self) -> int:
+    def next_offset(self) -> int:
         """The offset after the last of ``records``, where the next read starts."""
         return self.start + len(self.records)
 
@@ -158,7 +158,7 @@
 
         Raises
         ------
-        TailMovedError
+        OffsetMismatchError
             If the partition does not end at ``at``.
         FencedError
             If the partition has seen a higher epoch of the producer.
@@ -167,7 +167,7 @@
     @abstractmethod
     async def read(
         self, topic: str, start: int, *, wait: float, timeout: float = 1.0
-    ) -> Tail:
+    ) -> ReadResult:
         """Return the records from ``start`` on; wait up to ``wait`` seconds for one.
 
         Raises
@@ -187,7 +187,7 @@
         return None
 
 
-async def newest_of_all(store: Store, topic: str, timeout: float) -> NewestPage:
+async def read_all_newest(store: Store, topic: str, timeout: float) -> NewestPage:
     """Return the newest record of every key, with the ``end`` of the first page.
 
     The pages are read one after another and are not a snapshot: the caller must read
--- a/siskinroad/work/store_memory.py
+++ b/siskinroad/work/store_memory.py
@@ -8,14 +8,14 @@
 from siskinroad.work.store import (
     Fence,
     FencedError,
-    Newest,
     NewestPage,
+    NewestRecord,
+    OffsetMismatchError,
+    ReadResult,
     Record,
     Store,
     StoreUnavailableError,
     StoreUnknownError,
-    Tail,
-    TailMovedError,
     TrimmedError,
 )
 
@@ -28,37 +28,37 @@
 
     Attributes
     ----------
-    down : bool
+    is_unavailable : bool
         Every call fails without effect, with ``StoreUnavailableError``.
-    silent : bool
+    no_replies : bool
         Every call goes unanswered and has no effect, and ends with
         ``StoreUnknownError``.
-    slow : float
+    call_delay_s : float
         Delay of every call in seconds.
-    lost_answers : int
+    lost_replies : int
         Number of further appends that take effect without a reply.
-    late : float
+    late_append_delay : float
         Seconds after which an append without a reply takes effect.
     cut : set of str
         Names of the clients that cannot reach the store.
-    deaf : set of str
+    no_read_replies : set of str
         Names of the clients whose reads get no reply, while their appends succeed.
     """
 
-    down: bool = False
-    silent: bool = False
-    slow: float = 0.0
-    lost_answers: int = 0
-    late: float = 0.0
+    is_unavailable: bool = False
+    no_replies: bool = False
+    call_delay_s: float = 0.0
+    lost_replies: int = 0
+    late_append_delay: float = 0.0
     cut: set[str] = field(default_factory=set)
-    deaf: set[str] = field(default_factory=set)
+    no_read_replies: set[str] = field(default_factory=set)
 
 
 @dataclass(slots=True)
 class _Topic:
     first: int = 0
     records: list[Record] = field(default_factory=list)
-    newest: dict[str, Newest] = field(default_factory=dict)
+    newest: dict[str, NewestRecord] = field(default_factory=dict)
     epochs: dict[str, int] = field(default_factory=dict)
     sequences: dict[str, tuple[int, int]] = field(default_factory=dict)
 
@@ -106,10 +106,10 @@
                 return topic.end
             topic.sequences[fence.producer] = (fence.epoch, fence.sequence)
         if at is not None and at != topic.end:
-            raise TailMovedError(topic.end)
+            raise OffsetMismatchError(topic.end)
         offset = topic.end
         for record in records:
-            topic.newest[record.key] = Newest(record.key, record.value, topic.end)
+            topic.newest[record.key] = NewestRecord(record.key, record.value, topic.end)
             if not record.value:
                 del topic.newest[record.key]
             topic.records.append(record)
@@ -132,7 +132,8 @@
     logs : MemoryLogs
         The topics, and the faults in force.
     client : str
-        Name by which ``StoreFaults.cut`` and ``StoreFaults.deaf`` select this client.
+        Name by which ``StoreFaults.cut`` and ``StoreFaults.no_read_replies`` select
+        this client.
     """
 
     def __init__(self, logs: MemoryLogs, client: str = "") -> None:
@@ -151,11 +152,13 @@
         """Append records; see the base class."""
         await self._simulate_delay(timeout)
         faults = self.logs.faults
-        if faults.lost_answers <= 0:
+        if faults.lost_replies <= 0:
             return self.logs.append(topic, records, at, fence)
-        faults.lost_answers -= 1
+        faults.lost_replies -= 1
         loop = asyncio.get_running_loop()
-        loop.call_later(faults.late, self._append_late, topic, records, at, fence)
+        loop.call_later(
+            faults.late_append_delay, self._append_late, topic, records, at, fence
+        )
         await asyncio.sleep(timeout)
         raise StoreUnknownError("no reply within the timeout", step="store.append")
 
@@ -164,15 +167,15 @@
     ) -> None:
         try:
             self.logs.append(topic, records, at, fence)
-        except (TailMovedError, FencedError):
+        except (OffsetMismatchError, FencedError):
             return
 
     async def read(
         self, topic: str, start: int, *, wait: float, timeout: float = 1.0
-    ) -> Tail:
+    ) -> ReadResult:
         """Read records; see the base class."""
         await self._simulate_delay(timeout)
-        if self.client in self.logs.faults.deaf:
+        if self.client in self.logs.faults.no_read_replies:
             await asyncio.sleep(timeout)
             raise StoreUnknownError("no reply within the timeout", step="store.read")
         log = self.logs.topic(topic)
@@ -190,7 +193,7 @@
         await self._raise_if_unreachable(timeout)
         if start < log.first:
             raise TrimmedError(log.first)
-        return Tail(start, tuple(log.records[start - log.first :]), log.end)
+        return ReadResult(start, tuple(log.records[start - log.first :]), log.end)
 
     async def newest(
         self, topic: str, after: str = "", *, timeout: float = 1.0
@@ -204,13 +207,13 @@
         return NewestPage(items, len(page_keys) < len(keys), log.end)
 
     async def _simulate_delay(self, timeout: float) -> None:
-        await asyncio.sleep(self.logs.faults.slow)
+        await asyncio.sleep(self.logs.faults.call_delay_s)
         await self._raise_if_unreachable(timeout)
 
     async def _raise_if_unreachable(self, timeout: float) -> None:
-        if self.logs.faults.down or self.client in self.logs.faults.cut:
+        if self.logs.faults.is_unavailable or self.client in self.logs.faults.cut:
             await asyncio.sleep(timeout)
             raise StoreUnavailableError("unreachable", step="store")
-        if self.logs.faults.silent:
+        if self.logs.faults.no_replies:
             await asyncio.sleep(timeout)
             raise StoreUnknownError("no reply within the timeout", step="store")
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -13,7 +13,7 @@
 from siskinroad.work.hosts import HostCommand, Rejection, StartCommand
 from siskinroad.work.hosts_memory import MemoryHost, MemoryHosts
 from siskinroad.work.model import HostEntry
-from siskinroad.work.store import Fence, FencedError, TailMovedError, TrimmedError
+from siskinroad.work.store import Fence, FencedError, OffsetMismatchError, TrimmedError
 from siskinroad.work.store_memory import MemoryLogs, MemoryStore
 
 REASON_BY_REJECTION = {
@@ -124,7 +124,7 @@
             offset = await self.store.append(
                 query["topic"], records, at=at, fence=fence
             )
-        except TailMovedError as exc:
+        except OffsetMismatchError as exc:
             return reply(412, end_offset=exc.end)
         except FencedError:
             return reply(409, reason="fenced")
@@ -134,11 +134,13 @@
         query = req.query
         wait = int(query.get("wait_ms", "0")) / 1000
         try:
-            tail = await self.store.read(query["topic"], int(query["from"]), wait=wait)
+            result = await self.store.read(
+                query["topic"], int(query["from"]), wait=wait
+            )
         except TrimmedError as exc:
             return reply(410, start_offset=exc.first)
-        offsets = struct.pack(">QQ", tail.end, 0)
-        return HttpResponse(200, offsets + encode_records(list(tail.records)))
+        offsets = struct.pack(">QQ", result.end, 0)
+        return HttpResponse(200, offsets + encode_records(list(result.records)))
 
     async def newest(self, req):
         after = unquote(req.query.get("depends_on", ""))
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -165,12 +165,12 @@
         await cell.start_daemons("a", "b", "c")
         await cell.submit("a", JOB_ID, job(step(6, estimate=9.0)))
         await asyncio.sleep(0.5)
-        cell.logs.faults.silent = True
+        cell.logs.faults.no_replies = True
         leaving = cell.daemons.pop(cell.owner())
         drain = asyncio.create_task(leaving.drain(3.5))
         await asyncio.sleep(3.0)
         assert leaving.owners
-        cell.logs.faults.silent = False
+        cell.logs.faults.no_replies = False
         await asyncio.sleep(2.0)
         assert cell.owner() is not None
         await drain
@@ -184,7 +184,7 @@
 def test_a_stop_in_an_outage_without_end_gives_the_pools_up_in_time():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
-        cell.logs.faults.silent = True
+        cell.logs.faults.no_replies = True
         leaving = cell.daemons.pop(cell.owner())
         began = asyncio.get_running_loop().time()
         await leaving.drain(3.5)
@@ -220,7 +220,7 @@
         await cell.start_daemons("a", "b", "c")
         await cell.submit("a", JOB_ID, job(step(8)))
         await asyncio.sleep(0.1)
-        cell.logs.faults.slow = 0.4
+        cell.logs.faults.call_delay_s = 0.4
         leaving = cell.daemons.pop(cell.owner())
         drain = asyncio.create_task(leaving.drain(3.5))
         await asyncio.sleep(0.4 + 0.05)
@@ -295,10 +295,10 @@
         await asyncio.sleep(0.5)
         for host in cell.hosts.hosts.values():
             host.task_duration_s = 30.0
-        cell.logs.faults.down = True
+        cell.logs.faults.is_unavailable = True
         await asyncio.sleep(1.5)
         await cell.kill(cell.owner())
-        cell.logs.faults.down = False
+        cell.logs.faults.is_unavailable = False
         await cell.wait_for_owner()
         await cell.kill(cell.owner())
         cell.start("d")
@@ -316,7 +316,7 @@
         old = cell.owner()
         new = next(name for name in cell.daemons if name != old)
         cell.network.faults.cut |= {(old, new), (new, old)}
-        cell.logs.faults.deaf.add(old)
+        cell.logs.faults.no_read_replies.add(old)
         for _ in range(60):
             if POOL in cell.daemons[new].owners:
                 break
@@ -346,8 +346,8 @@
 def test_unanswered_job_append_is_never_reported_as_not_run():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
-        cell.logs.faults.lost_answers = 1
-        cell.logs.faults.late = 0.5
+        cell.logs.faults.lost_replies = 1
+        cell.logs.faults.late_append_delay = 0.5
         reply = await cell.submit("a", JOB_ID, job())
         assert reply.kind in ("ok", "unknown")
         await cell.wait_for_state(JOB_ID, "complete")
@@ -361,7 +361,7 @@
         await cell.start_daemons("a", "b")
         await cell.submit("a", JOB_ID, job(step(1), step(1, after=(0,))))
         await asyncio.sleep(0.2)
-        cell.logs.faults.down = True
+        cell.logs.faults.is_unavailable = True
         await asyncio.sleep(3.0)
         began = asyncio.get_running_loop().time()
         reply = await cell.submit("a", "00000000000000bb", job())
@@ -369,7 +369,7 @@
         assert asyncio.get_running_loop().time() - began < 0.1
         assert len(cell.hosts.starts()) == 2
         assert await cell.state("a", JOB_ID) == "active"
-        cell.logs.faults.down = False
+        cell.logs.faults.is_unavailable = False
         await cell.wait_for_state(JOB_ID, "complete")
 
     run_scenario(scenario)
@@ -381,7 +381,7 @@
     async def scenario(cell):
         loop = asyncio.get_running_loop()
         await cell.start_daemons("a", "b")
-        cell.logs.faults.silent = True
+        cell.logs.faults.no_replies = True
         first = asyncio.create_task(cell.submit("b", JOB_ID, job()))
         await asyncio.sleep(0.5)
         began = loop.time()
@@ -390,7 +390,7 @@
         assert loop.time() - began < 1.0
         assert (await first).kind == "unknown"
         await asyncio.sleep(2.0)
-        cell.logs.faults.silent = False
+        cell.logs.faults.no_replies = False
         back = loop.time()
         while (await cell.submit("b", "00000000000000bb", job())).kind != "ok":
             await asyncio.sleep(0.25)
@@ -482,7 +482,7 @@
     async def scenario(cell):
         await cell.start_daemons("a", "b")
         assert await cell.state("a", JOB_ID) == "no_job"
-        cell.logs.faults.down = True
+        cell.logs.faults.is_unavailable = True
         await asyncio.sleep(4)
         assert await cell.state("a", JOB_ID) == "not_now"
 
--- a/tests/work/test_follow.py
+++ b/tests/work/test_follow.py
@@ -7,7 +7,7 @@
 from bench.clock import run
 from siskinroad.work.follow import Follower
 from siskinroad.work.progress import Deposed
-from siskinroad.work.store import NewestPage, Record, Tail, TrimmedError
+from siskinroad.work.store import NewestPage, ReadResult, Record, TrimmedError
 from siskinroad.work.store_memory import MemoryLogs, MemoryStore
 
 
@@ -23,7 +23,7 @@
             return await super().read(topic, start, wait=wait, timeout=timeout)
         end = self.logs.topic(topic).end - self.behind
         if start > end:
-            return Tail(start, (), end)
+            return ReadResult(start, (), end)
         raise TrimmedError(end)
 
     async def newest(self, topic, after="", *, timeout=1.0):
@@ -60,7 +60,7 @@
         follower, task = await start_follower(store, seen, 1.0)
         store.behind, store.calls = 2, 0
         await asyncio.sleep(3.0)
-        assert follower.next == 3 and seen == ["a", "b", "c"]
+        assert follower.next_offset == 3 and seen == ["a", "b", "c"]
         assert store.calls < 15
         store.behind = 0
         await store.append("t", [Record("d", b"1")])
@@ -112,9 +112,9 @@
         logs = MemoryLogs()
         store, seen = MemoryStore(logs, "me"), []
         follower, task = await start_follower(store, seen, 0.5)
-        logs.faults.deaf.add("me")
+        logs.faults.no_read_replies.add("me")
         await asyncio.sleep(1.2)
-        logs.faults.deaf.clear()
+        logs.faults.no_read_replies.clear()
         logs.append("t", [Record("a", b"1")], None, None)
         follower.nudge()
         await asyncio.sleep(0.05)
--- a/tests/work/test_hard_cases.py
+++ b/tests/work/test_hard_cases.py
@@ -43,14 +43,14 @@
         # hosts still arrive.
         cell.network.pause(paused)
         cell.network.faults.cut.update((paused, name) for name in "abc")
-        cell.logs.faults.deaf.add(paused)
+        cell.logs.faults.no_read_replies.add(paused)
         await asyncio.sleep(3.0)
         others = [name for name in cell.daemons if name != paused]
         owners = [n for n in others if cell.daemons[n].owners]
         assert len(owners) == 1
         await cell.submit(owners[0], JOB_ID, job(step(6)))
         await asyncio.sleep(0.3)
-        cell.logs.faults.deaf.clear()
+        cell.logs.faults.no_read_replies.clear()
         cell.network.faults.cut.clear()
         cell.network.resume(paused)
         await asyncio.sleep(1.0)
