--- a/siskinroad/work/batcher.py
+++ b/siskinroad/work/batcher.py
@@ -59,7 +59,7 @@
 
     Parameters
     ----------
-    answered_at : callable
+    last_answer_at : callable
         Returns the loop time of the store's last answer to any call.
     """
 
@@ -67,11 +67,11 @@
         self,
         store: Store,
         topic: str,
-        answered_at: Callable[[], float] = lambda: -1e9,
+        last_answer_at: Callable[[], float] = lambda: -1e9,
     ) -> None:
         self._store = store
         self._topic = topic
-        self._answered_at = answered_at
+        self._last_answer_at = last_answer_at
         self._pending: list[_PendingAppend] = []
         self._task: asyncio.Task[None] | None = None
         self._latency = 0.0
@@ -113,7 +113,7 @@
     def _is_silent(self) -> bool:
         """Return whether the store has answered nothing since an append got stuck."""
         since = self._silent_since
-        return since is not None and self._answered_at() <= since
+        return since is not None and self._last_answer_at() <= since
 
     async def _run(self) -> None:
         while self._pending:
@@ -178,14 +178,14 @@
         return min(MAX_APPEND_TIMEOUT, wanted * 2**attempts)
 
     def _refuse_if_silent(self, since: float) -> None:
-        if self._answered_at() <= since:
+        if self._last_answer_at() <= since:
             self._silent_since = since
             self._refuse_unsent("store answers no call")
 
     def _refuse_unsent(self, why: str) -> None:
         """Refuse the records that have not been sent."""
         log.warning(
-            "batcher: an append has no answer",
+            "batcher: append not answered; refusing the records queued behind it",
             extra={"topic": self._topic, "refused": len(self._pending), "why": why},
         )
         self._fail_all(self._pending, StoreUnavailableError(why, step="batcher"))
--- a/siskinroad/work/claims.py
+++ b/siskinroad/work/claims.py
@@ -152,7 +152,7 @@
             return False
         if now - self._store_recovered_at < RECOVERY_CLAIM_DELAY:
             return False
-        age = now - self._store.answered_at
+        age = now - self._store.direct_answer_at
         return self._members.should_claim(pool, now, len(self._pool_tasks), age)
 
     def store_returned(self) -> None:
--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -13,7 +13,7 @@
 from siskinroad.suspend import SuspendWatch
 from siskinroad.work.advisor_channels import AdvisorChannels
 from siskinroad.work.claims import Claims
-from siskinroad.work.follow import Follower
+from siskinroad.work.follower import Follower
 from siskinroad.work.job_service import JobService
 from siskinroad.work.job_writer import JobWriter
 from siskinroad.work.members import BEAT_TIME, OWNER_BEAT_TIME, Members
@@ -40,8 +40,8 @@
 )
 from siskinroad.work.relay import RelayStore
 from siskinroad.work.store import NewestRecord
+from siskinroad.work.store_probe import StoreProbe
 from siskinroad.work.term import OwnerParts
-from siskinroad.work.watch import StoreWatch
 from siskinroad.work.workmetrics import WorkMetrics
 
 __all__ = ["WorkDaemon"]
@@ -100,12 +100,12 @@
         self.store = RelayStore(
             outside.store, self.peer_calls, lambda: self.members.reaches_store(now())
         )
-        self.store.returned = self._on_store_recovered
-        self.watch = StoreWatch(
+        self.store.on_recovered = self._on_store_recovered
+        self.store_probe = StoreProbe(
             outside.store,
             MEMBERS_TOPIC,
-            lambda: self.store.answered_at,
-            self.store.answered,
+            lambda: self.store.direct_answer_at,
+            self.store.record_direct_answer,
         )
         self.advisor_channels = AdvisorChannels(
             member.node,
@@ -140,7 +140,7 @@
             self.peer_calls,
             self._job_writer_of,
             lambda node: self.members.answers(node, now()),
-            lambda: self.store.heard_at,
+            lambda: self.store.last_answer_at,
             self.metrics,
         )
         self.job_service = JobService(
@@ -152,7 +152,7 @@
             self._capacities,
             self.metrics,
             wall,
-            lambda: self.store.heard_at,
+            lambda: self.store.last_answer_at,
         )
         peers.receiver = self._receive
         peers.connected = self._connected
@@ -183,7 +183,7 @@
             self.setup_follower.run(),
             self.members_follower.run(),
             self.list.run(),
-            self.watch.run(),
+            self.store_probe.run(),
             self._run_heartbeats(),
             self.claims.run(),
         ):
@@ -305,7 +305,7 @@
     def _make_heartbeat(self) -> Beat:
         now = asyncio.get_running_loop().time()
         owned = tuple((pool, owner.term.number) for pool, owner in self.owners.items())
-        age = round(now - self.store.answered_at, 1)
+        age = round(now - self.store.direct_answer_at, 1)
         return Beat(
             self.member.node,
             self.member.incarnation,
@@ -328,7 +328,7 @@
         followers = [self.setup_follower, self.list, self.members_follower]
         followers += [owner.follower for owner in self.owners.values()]
         for follower in followers:
-            follower.nudge()
+            follower.restart_read()
 
     # Configuration and hosts
 
@@ -379,7 +379,7 @@
             return self.member.node
         now = asyncio.get_running_loop().time()
         # A draining daemon never selects itself: the others no longer select it either.
-        age = float("inf") if self.claims.leaving else now - self.store.answered_at
+        age = float("inf") if self.claims.leaving else now - self.store.direct_answer_at
         return self.members.gatherer(pool, now, age)
 
     def _capacities(self, pool: str) -> list[Resources]:
--- a/siskinroad/work/follow.py
+++ b/siskinroad/work/follower.py
@@ -25,7 +25,7 @@
 FIRST_RETRY_PAUSE = 0.1
 LONGEST_RETRY_PAUSE = 1.0
 
-log = logging.getLogger("siskinroad.follow")
+log = logging.getLogger("siskinroad.follower")
 
 Apply = Callable[[tuple[NewestRecord, ...], bool], None]
 
@@ -73,13 +73,13 @@
         self.topic = topic
         self.next_offset = -1
         self.confirmed_at = -1e9
-        self.reachable = True
+        self.is_reachable = True
         self._apply = apply
         self._wait = wait
         self._spacing = spacing
         self._read_timeout: asyncio.Timeout | None = None
 
-    def nudge(self) -> None:
+    def restart_read(self) -> None:
         """Abandon the pending read and read again at once.
 
         Requests sent before an outage of the store are never answered, and each
@@ -125,7 +125,7 @@
             return await self._read_later_records()
         except TrimmedError as exc:
             log.warning(
-                "follow: records trimmed; reading the newest record of each key",
+                "follower: records trimmed; reading the newest record of each key",
                 extra={
                     "topic": self.topic,
                     "from": self.next_offset,
@@ -171,11 +171,15 @@
             )
             raise StoreUnavailableError(text, step="follow")
 
-    def _log_reachability(self, reachable: bool, exc: SiskinroadError | None) -> None:
-        if reachable == self.reachable:
+    def _log_reachability(
+        self, is_reachable: bool, exc: SiskinroadError | None
+    ) -> None:
+        if is_reachable == self.is_reachable:
             return
-        self.reachable = reachable
-        text = "follow: topic is read again" if reachable else "follow: topic not read"
+        self.is_reachable = is_reachable
+        text = (
+            "follower: read succeeds again" if is_reachable else "follower: read failed"
+        )
         log.warning(
             text,
             extra={"topic": self.topic, "next": self.next_offset, "error": str(exc)},
--- a/siskinroad/work/messages.py
+++ b/siskinroad/work/messages.py
@@ -166,12 +166,12 @@
     """Reply to a ``RelayRequest``.
 
     ``outcome`` is ``answered``, ``not done`` if the call failed without effect, or
-    ``unknown``. ``answer`` is the encoded result, empty unless answered.
+    ``unknown``. ``result`` is the encoded result, empty unless answered.
     """
 
     id: int
     outcome: str
-    answer: bytes
+    result: bytes
 
 
 Message = (
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -15,7 +15,7 @@
     StopRun,
     ThrottleRun,
 )
-from siskinroad.work.follow import Follower
+from siskinroad.work.follower import Follower
 from siskinroad.work.host import LEASE_S
 from siskinroad.work.host_commands import HostCommands
 from siskinroad.work.lease_renewer import LeaseRenewer
@@ -180,7 +180,7 @@
         now = asyncio.get_running_loop().time()
         if now - self._rechecked_at >= CLAIM_RECHECK_INTERVAL:
             self._rechecked_at = now
-            self.follower.nudge()
+            self.follower.restart_read()
 
     # Updates from the daemon
 
--- a/siskinroad/work/relay.py
+++ b/siskinroad/work/relay.py
@@ -117,11 +117,11 @@
 
     Attributes
     ----------
-    answered_at : float
+    direct_answer_at : float
         Loop time in seconds of the store's last direct reply.
     relayed_answer_at : float
         Loop time in seconds of the store's last relayed reply.
-    returned : callable
+    on_recovered : callable
         Called at the first direct reply after an outage.
     relayed_calls : int
         Number of calls sent through another daemon.
@@ -137,15 +137,15 @@
         self._next_probe_at = -1e9
         self._probe_tasks: set[asyncio.Task[None]] = set()
         self._relay_turn = 0
-        self.answered_at = -1e9
+        self.direct_answer_at = -1e9
         self.relayed_answer_at = -1e9
-        self.returned: Callable[[], None] = lambda: None
+        self.on_recovered: Callable[[], None] = lambda: None
         self.relayed_calls = 0
 
     @property
-    def heard_at(self) -> float:
+    def last_answer_at(self) -> float:
         """Loop time in seconds of the store's last reply, direct or relayed."""
-        return max(self.answered_at, self.relayed_answer_at)
+        return max(self.direct_answer_at, self.relayed_answer_at)
 
     async def append(
         self,
@@ -159,7 +159,7 @@
         """Append records; see the base class."""
         fence_fields = (fence.producer, fence.epoch, fence.sequence) if fence else None
         call = _Append(topic, records, at, fence_fields)
-        answer = await self._call_store(
+        result = await self._call_store(
             call,
             timeout,
             lambda: self.direct.append(
@@ -168,37 +168,37 @@
             _Offset,
             repeatable=fence is not None,
         )
-        return answer.offset if isinstance(answer, _Offset) else answer
+        return result.offset if isinstance(result, _Offset) else result
 
     async def read(
         self, topic: str, start: int, *, wait: float, timeout: float = 1.0
     ) -> ReadResult:
         """Read records; see the base class."""
-        answer = await self._call_store(
+        result = await self._call_store(
             _Read(topic, start, wait),
             timeout,
             lambda: self.direct.read(topic, start, wait=wait, timeout=timeout),
             _Records,
             repeatable=True,
         )
-        if isinstance(answer, _Records):
-            return ReadResult(answer.start, answer.records, answer.end)
-        return answer
+        if isinstance(result, _Records):
+            return ReadResult(result.start, result.records, result.end)
+        return result
 
     async def newest(
         self, topic: str, after: str = "", *, timeout: float = 1.0
     ) -> NewestPage:
         """Return the newest record of each key; see the base class."""
-        answer = await self._call_store(
+        result = await self._call_store(
             _Newest(topic, after),
             timeout,
             lambda: self.direct.newest(topic, after, timeout=timeout),
             _Page,
             repeatable=True,
         )
-        if isinstance(answer, _Page):
-            return NewestPage(answer.items, answer.more, answer.end)
-        return answer
+        if isinstance(result, _Page):
+            return NewestPage(result.items, result.more, result.end)
+        return result
 
     async def close(self) -> None:
         """Close the connections to the store."""
@@ -234,24 +234,24 @@
     async def _call_direct(self, direct: Callable[[], Awaitable[T]]) -> T:
         """Make a direct call and record whether the store answered it."""
         try:
-            answer = await direct()
+            result = await direct()
         except (OffsetMismatchError, FencedError, TrimmedError):
-            self.answered()
+            self.record_direct_answer()
             raise
         except SiskinroadError:
             self._direct_failed = True
             raise
-        self.answered()
-        return answer
+        self.record_direct_answer()
+        return result
 
-    def answered(self) -> None:
-        """Record a direct reply of the store; call ``returned`` after an outage."""
+    def record_direct_answer(self) -> None:
+        """Record a direct reply of the store; call ``on_recovered`` after an outage."""
         self._direct_failed = False
         now = asyncio.get_running_loop().time()
-        previous_answer_at = self.answered_at
-        self.answered_at = now
+        previous_answer_at = self.direct_answer_at
+        self.direct_answer_at = now
         if previous_answer_at > 0 and now - previous_answer_at > SILENCE_TIMEOUT:
-            self.returned()
+            self.on_recovered()
 
     def _probe_direct(self, direct: Callable[[], Awaitable[T]]) -> None:
         """Start a direct call in the background to detect that the store answers again.
@@ -310,8 +310,8 @@
         if reply.outcome != "answered":
             raise StoreUnknownError(reply.outcome, step="relay", peer=relay_peer)
         self.relayed_answer_at = asyncio.get_running_loop().time()
-        answer = _RESULT_DECODER.decode(reply.answer)
-        match answer:
+        result = _RESULT_DECODER.decode(reply.result)
+        match result:
             case _OffsetMismatch(end=end):
                 raise OffsetMismatchError(end)
             case _Fenced():
@@ -321,13 +321,13 @@
                 )
             case _Trimmed(first=first):
                 raise TrimmedError(first)
-        if not isinstance(answer, result_type):
+        if not isinstance(result, result_type):
             raise StoreUnknownError(
                 "relayed reply does not match the type of the call",
                 step="relay",
                 peer=relay_peer,
             )
-        return answer
+        return result
 
     async def serve(self, msg: RelayRequest) -> RelayReply:
         """Carry out another daemon's store call.
@@ -336,13 +336,13 @@
         """
         try:
             call = _CALL_DECODER.decode(msg.call)
-            answer = await self._execute(call, msg.timeout)
+            result = await self._execute(call, msg.timeout)
         except (StoreUnavailableError, msgspec.MsgspecError):
             return RelayReply(msg.id, "not done", b"")
         except StoreUnknownError:
             return RelayReply(msg.id, "unknown", b"")
-        self.answered()
-        return RelayReply(msg.id, "answered", _ENCODE(answer))
+        self.record_direct_answer()
+        return RelayReply(msg.id, "answered", _ENCODE(result))
 
     async def _execute(self, call: _StoreCall, timeout: float) -> _StoreResult:
         try:
--- a/siskinroad/work/watch.py
+++ b/siskinroad/work/store_probe.py
@@ -13,7 +13,7 @@
 from siskinroad.errors import SiskinroadError
 from siskinroad.work.store import Store, TrimmedError
 
-__all__ = ["StoreWatch"]
+__all__ = ["StoreProbe"]
 
 # Seconds without an answer after which the store is probed. Reads that wait for up to
 # one second answer more often than that, so a healthy store is not probed.
@@ -22,10 +22,10 @@
 PROBE_INTERVAL = 0.25
 PROBE_TIMEOUT = 0.6
 
-log = logging.getLogger("siskinroad.watch")
+log = logging.getLogger("siskinroad.store_probe")
 
 
-class StoreWatch:
+class StoreProbe:
     """A prober that sends short reads to the store while it is silent.
 
     Parameters
@@ -34,7 +34,7 @@
         The store, reached directly and not through a peer.
     topic : str
         The topic to read; every daemon may read it.
-    answered_at : callable
+    direct_answer_at : callable
         Returns the loop time of the store's last direct answer.
     on_answer : callable
         Called when a probe has been answered.
@@ -44,12 +44,12 @@
         self,
         store: Store,
         topic: str,
-        answered_at: Callable[[], float],
+        direct_answer_at: Callable[[], float],
         on_answer: Callable[[], None],
     ) -> None:
         self._store = store
         self._topic = topic
-        self._answered_at = answered_at
+        self._direct_answer_at = direct_answer_at
         self._on_answer = on_answer
 
     async def run(self) -> None:
@@ -57,7 +57,7 @@
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(PROBE_INTERVAL)
-            if loop.time() - self._answered_at() >= SILENCE_LIMIT:
+            if loop.time() - self._direct_answer_at() >= SILENCE_LIMIT:
                 await self._probe()
 
     async def _probe(self) -> None:
@@ -66,6 +66,6 @@
         except TrimmedError:
             self._on_answer()
         except SiskinroadError as exc:
-            log.debug("watch: store probe failed", extra={"error": str(exc)})
+            log.debug("store_probe: store probe failed", extra={"error": str(exc)})
         else:
             self._on_answer()
--- a/tests/work/test_batcher.py
+++ b/tests/work/test_batcher.py
@@ -26,7 +26,7 @@
         self.busy_until = 0.0
         self.silent = False
         self.lose_every = 0
-        self.answered_at = -1e9
+        self.last_answer_at = -1e9
         self.stored = set()
         self.appends = 0
 
@@ -45,7 +45,7 @@
             await asyncio.sleep(timeout)
             raise StoreUnknownError("no answer", step="append")
         await asyncio.sleep(delay)
-        self.answered_at = asyncio.get_running_loop().time()
+        self.last_answer_at = asyncio.get_running_loop().time()
         return 0
 
     async def read(self, topic, start, *, wait, timeout=1.0):
@@ -56,7 +56,7 @@
 
 
 def make_batcher(store):
-    return Batcher(store, "t", lambda: store.answered_at)
+    return Batcher(store, "t", lambda: store.last_answer_at)
 
 
 async def submit(batcher, key, seconds=2.85):
@@ -110,7 +110,7 @@
         await submit_stream(batcher, 30)
         store.silent = False
         assert (await submit(batcher, "early"))[0] == "refused"
-        store.answered_at = asyncio.get_running_loop().time()
+        store.last_answer_at = asyncio.get_running_loop().time()
         assert (await submit(batcher, "late"))[0] == "stored"
 
     run(scenario())
@@ -141,7 +141,7 @@
     """Keep recording that the store has just answered another call."""
     while True:
         await asyncio.sleep(0.1)
-        store.answered_at = asyncio.get_running_loop().time()
+        store.last_answer_at = asyncio.get_running_loop().time()
 
 
 def test_lost_answers_refuse_no_record_while_store_answers_other_calls():
--- a/tests/work/test_follow.py
+++ b/tests/work/test_follower.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bench.clock import run
-from siskinroad.work.follow import Follower
+from siskinroad.work.follower import Follower
 from siskinroad.work.progress import Deposed
 from siskinroad.work.store import NewestPage, ReadResult, Record, TrimmedError
 from siskinroad.work.store_memory import MemoryLogs, MemoryStore
@@ -107,7 +107,7 @@
     run(scenario())
 
 
-def test_nudge_restarts_read_at_once_and_loses_no_record():
+def test_restart_read_reads_at_once_and_loses_no_record():
     async def scenario():
         logs = MemoryLogs()
         store, seen = MemoryStore(logs, "me"), []
@@ -116,10 +116,10 @@
         await asyncio.sleep(1.2)
         logs.faults.no_read_replies.clear()
         logs.append("t", [Record("a", b"1")], None, None)
-        follower.nudge()
+        follower.restart_read()
         await asyncio.sleep(0.05)
         assert seen == ["a"]
         task.cancel()
-        follower.nudge()
+        follower.restart_read()
 
     run(scenario())
