--- a/siskinroad/work/claim.py
+++ b/siskinroad/work/claim.py
@@ -35,10 +35,16 @@
     read_all_newest,
 )
 
-__all__ = ["PRODUCER", "Inheritance", "OwnedError", "claim_pool", "release_pool"]
+__all__ = [
+    "PROGRESS_PRODUCER",
+    "AlreadyOwnedError",
+    "InheritedState",
+    "claim_pool",
+    "release_pool",
+]
 
 
-PRODUCER = "owner"
+PROGRESS_PRODUCER = "owner"
 # Time-out of one store call, in seconds. A shorter one would abort claims that are
 # queued behind several slow appends.
 STORE_TIMEOUT = 2.5
@@ -46,12 +52,12 @@
 log = logging.getLogger("siskinroad.claim")
 
 
-class OwnedError(SiskinroadError):
+class AlreadyOwnedError(SiskinroadError):
     """Claim refused, as the pool already has a live owner."""
 
 
 @dataclass(slots=True)
-class Inheritance:
+class InheritedState:
     """State that a new owner takes over from the store.
 
     Attributes
@@ -82,14 +88,14 @@
     hosts: HostSet | None = None
 
     @property
-    def former_alone(self) -> bool:
+    def is_former_sole_owner(self) -> bool:
         """Whether no owner before the former one can still have runs on any host."""
         if self.former is None:
             return True
         hosts = self.hosts
         return hosts is not None and hosts.term == self.former_term and hosts.settled
 
-    def take(self, stored: Stored, offset: int) -> None:
+    def apply(self, stored: Stored, offset: int) -> None:
         """Apply one record."""
         match stored:
             case Accepted(job=job):
@@ -107,15 +113,15 @@
                 self.hosts = stored
 
 
-def take_records(
-    inherited: Inheritance, items: tuple[NewestRecord, ...], topic: str
+def apply_records(
+    inherited: InheritedState, items: tuple[NewestRecord, ...], topic: str
 ) -> None:
     """Apply records; unreadable ones are logged and skipped."""
     for item in items:
         if not item.value:
             continue
         try:
-            inherited.take(decode_stored(item.value), item.offset)
+            inherited.apply(decode_stored(item.value), item.offset)
         except ProtocolError as exc:
             log.error(
                 "claim: cannot decode a stored record; skipping it",
@@ -128,7 +134,7 @@
     pool: str,
     owner: OwnerRecord,
     has_live_owner: Callable[[OwnerRecord], Awaitable[bool]] | None = None,
-) -> Inheritance:
+) -> InheritedState:
     """Claim a pool and read the stored state of its former owner.
 
     If two daemons claim at the same time, the later claim owns the pool; the other
@@ -142,27 +148,27 @@
 
     Raises
     ------
-    OwnedError
+    AlreadyOwnedError
         If the pool still has a live owner; nothing was claimed.
     """
     topic = job_topic(pool)
     page = await read_all_newest(store, topic, STORE_TIMEOUT)
-    inherited = Inheritance()
-    take_records(inherited, page.items, topic)
+    inherited = InheritedState()
+    apply_records(inherited, page.items, topic)
     former = inherited.former
     if (
         former is not None
         and has_live_owner is not None
         and await has_live_owner(former)
     ):
-        raise OwnedError(
+        raise AlreadyOwnedError(
             "pool already has a live owner", step="claim", peer=former.node
         )
     inherited.claimed_at = asyncio.get_running_loop().time()
     offset = await store.append(topic, [record_of(owner)], timeout=STORE_TIMEOUT)
     inherited.term = inherited.next_offset = offset + 1
     # From here on the store rejects progress records of every lower term.
-    fence = Fence(PRODUCER, inherited.term, 0)
+    fence = Fence(PROGRESS_PRODUCER, inherited.term, 0)
     await store.append(progress_topic(pool), [], fence=fence, timeout=STORE_TIMEOUT)
     await asyncio.gather(
         _read_records_before_claim(store, topic, page.end, offset, inherited),
@@ -171,14 +177,14 @@
     return inherited
 
 
-async def _read_progress(store: Store, pool: str, inherited: Inheritance) -> None:
+async def _read_progress(store: Store, pool: str, inherited: InheritedState) -> None:
     topic = progress_topic(pool)
     page = await read_all_newest(store, topic, STORE_TIMEOUT)
-    take_records(inherited, page.items, topic)
+    apply_records(inherited, page.items, topic)
 
 
 async def _read_records_before_claim(
-    store: Store, topic: str, start: int, end: int, inherited: Inheritance
+    store: Store, topic: str, start: int, end: int, inherited: InheritedState
 ) -> None:
     """Apply the records between the end of the first read and the claim."""
     while start < end:
@@ -187,7 +193,7 @@
             NewestRecord(record.key, record.value, start + i)
             for i, record in enumerate(result.records)
         )
-        take_records(
+        apply_records(
             inherited, tuple(item for item in items if item.offset < end), topic
         )
         if result.next_offset <= start:
--- a/siskinroad/work/claims.py
+++ b/siskinroad/work/claim_manager.py
@@ -22,12 +22,12 @@
 from siskinroad.work.claim import claim_pool
 from siskinroad.work.members import Members
 from siskinroad.work.model import HostEntry, Setup
-from siskinroad.work.owner import Deposed, PoolOwner
+from siskinroad.work.owner import OwnershipLostError, PoolOwner
 from siskinroad.work.records import Member, OwnerRecord
 from siskinroad.work.relay import RelayStore
-from siskinroad.work.term import OwnerParts
+from siskinroad.work.term import OwnerDependencies
 
-__all__ = ["Claims"]
+__all__ = ["ClaimManager"]
 
 # Longest interval in seconds between two checks for pools without an owner.
 CLAIM_CHECK_INTERVAL = 0.2
@@ -53,10 +53,10 @@
 # other daemons are told of the release, whether it is stored or not.
 HANDOVER_WAIT = 0.15
 
-log = logging.getLogger("siskinroad.claims")
+log = logging.getLogger("siskinroad.claim_manager")
 
 
-class Claims:
+class ClaimManager:
     """Manager of the pools that this daemon owns or is claiming.
 
     Parameters
@@ -72,7 +72,7 @@
         Whether this daemon is stopping and claims no more pools.
     owners : dict of str to PoolOwner
         Owners of the pools that this daemon owns, by pool.
-    wanted : asyncio.Event
+    check_requested : asyncio.Event
         Set when a pool may have lost its owner.
     """
 
@@ -82,19 +82,19 @@
         members: Members,
         peers: Peers,
         store: RelayStore,
-        parts: OwnerParts,
+        dependencies: OwnerDependencies,
         hosts: dict[str, HostEntry],
         send_heartbeat: Callable[[], None],
     ) -> None:
         self.setup: Setup | None = None
         self.leaving = False
         self.owners: dict[str, PoolOwner] = {}
-        self.wanted = asyncio.Event()
+        self.check_requested = asyncio.Event()
         self._member = member
         self._members = members
         self._peers = peers
         self._store = store
-        self._parts = parts
+        self._dependencies = dependencies
         self._hosts = hosts
         self._send_heartbeat = send_heartbeat
         self._pool_tasks: dict[str, asyncio.Task[None]] = {}
@@ -113,7 +113,7 @@
         return tuple(pool for pool in self._pool_tasks if pool not in self.owners)
 
     @property
-    def able(self) -> bool:
+    def can_claim(self) -> bool:
         """Whether this daemon is up long enough, configured and not leaving."""
         is_up_long_enough = self._uptime() >= CLAIM_STARTUP_DELAY
         return is_up_long_enough and self.setup is not None and not self.leaving
@@ -127,15 +127,15 @@
         while True:
             try:
                 async with asyncio.timeout(CLAIM_CHECK_INTERVAL):
-                    await self.wanted.wait()
+                    await self.check_requested.wait()
             except TimeoutError:
                 pass
-            self.wanted.clear()
+            self.check_requested.clear()
             for pool in self.setup.pools if self.setup else ():
                 should_claim = pool not in self._pool_tasks and self._should_claim(
                     pool, loop.time()
                 )
-                if should_claim and self.able:
+                if should_claim and self.can_claim:
                     self._pool_tasks[pool] = loop.create_task(self._own_pool(pool))
                     self._send_heartbeat()
 
@@ -155,7 +155,7 @@
         age = now - self._store.direct_answer_at
         return self._members.should_claim(pool, now, len(self._pool_tasks), age)
 
-    def store_returned(self) -> None:
+    def note_store_recovered(self) -> None:
         """Note that the store replies to this daemon again after an outage."""
         self._store_recovered_at = asyncio.get_running_loop().time()
 
@@ -193,23 +193,24 @@
             owner = await self._claim_pool(pool)
             event = "won"
             await owner.run()
-        except Deposed as exc:
+        except OwnershipLostError as exc:
             event = "deposed"
             log.warning(
-                "claims: ownership of pool lost", extra={"pool": pool, "why": str(exc)}
+                "claim_manager: ownership of pool lost",
+                extra={"pool": pool, "why": str(exc)},
             )
         except SiskinroadError as exc:
             log.warning(
-                "claims: claiming or owning pool failed",
+                "claim_manager: claiming or owning pool failed",
                 extra={"pool": pool, "why": str(exc)},
             )
         except Exception:
             event = "failed"
             log.exception(
-                "claims: owner of pool failed unexpectedly", extra={"pool": pool}
+                "claim_manager: owner of pool failed unexpectedly", extra={"pool": pool}
             )
         finally:
-            self._parts.metrics.claims.labels(event).inc()
+            self._dependencies.metrics.claims.labels(event).inc()
             self.owners.pop(pool, None)
             self._pool_tasks.pop(pool, None)
             self._vacant_since.pop(pool, None)
@@ -224,18 +225,18 @@
             record,
             lambda former: self._has_live_owner(pool, former, started_at),
         )
-        owner = PoolOwner(pool, self._parts, inherited, self.setup)
+        owner = PoolOwner(pool, self._dependencies, inherited, self.setup)
         self.owners[pool] = owner
         self._send_heartbeat()
         # Deferred until the owner runs: before that, its tasks cannot be spawned.
-        asyncio.get_running_loop().call_soon(owner.hosts_listed, self._hosts)
+        asyncio.get_running_loop().call_soon(owner.apply_host_list, self._hosts)
         return owner
 
-    async def give_up_all(self) -> None:
+    async def release_all(self) -> None:
         """Release every pool; accepted work continues under other owners."""
         pools = self.pools
         await asyncio.gather(*(self._release_pool(pool) for pool in pools))
-        log.info("claims: all pools released", extra={"pools": pools})
+        log.info("claim_manager: all pools released", extra={"pools": pools})
 
     async def _release_pool(self, pool: str) -> None:
         owner = self.owners.get(pool)
@@ -254,7 +255,8 @@
         if not release.done():
             release.cancel()
             log.warning(
-                "claims: release of pool not stored in time", extra={"pool": pool}
+                "claim_manager: release of pool not stored in time",
+                extra={"pool": pool},
             )
 
     async def close(self) -> None:
--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -12,7 +12,7 @@
 from siskinroad.resources import Resources
 from siskinroad.suspend import SuspendWatch
 from siskinroad.work.advisor_channels import AdvisorChannels
-from siskinroad.work.claims import Claims
+from siskinroad.work.claim_manager import ClaimManager
 from siskinroad.work.follower import Follower
 from siskinroad.work.job_service import JobService
 from siskinroad.work.job_writer import JobWriter
@@ -41,7 +41,7 @@
 from siskinroad.work.relay import RelayStore
 from siskinroad.work.store import NewestRecord
 from siskinroad.work.store_probe import StoreProbe
-from siskinroad.work.term import OwnerParts
+from siskinroad.work.term import OwnerDependencies
 from siskinroad.work.workmetrics import WorkMetrics
 
 __all__ = ["WorkDaemon"]
@@ -113,7 +113,7 @@
             self.peer_calls,
             lambda: self.members.alive(now()),
         )
-        self.parts = OwnerParts(
+        self.dependencies = OwnerDependencies(
             member.node,
             member.incarnation,
             self.store,
@@ -122,18 +122,18 @@
             timing,
             self.metrics,
             wall,
-            self.members.is_later_life,
+            self.members.has_later_incarnation,
         )
-        self.claims = Claims(
+        self.claim_manager = ClaimManager(
             member,
             self.members,
             peers,
             self.store,
-            self.parts,
+            self.dependencies,
             self.hosts,
             self._send_heartbeats,
         )
-        self.owners = self.claims.owners
+        self.owners = self.claim_manager.owners
         self.job_writer = JobWriter(
             member.node,
             self.store,
@@ -174,7 +174,7 @@
     @property
     def ready(self) -> bool:
         """Whether this daemon should receive requests from callers."""
-        return self.job_service.setup is not None and not self.claims.leaving
+        return self.job_service.setup is not None and not self.claim_manager.leaving
 
     def start(self) -> None:
         """Start the daemon's background loops."""
@@ -185,7 +185,7 @@
             self.list.run(),
             self.store_probe.run(),
             self._run_heartbeats(),
-            self.claims.run(),
+            self.claim_manager.run(),
         ):
             task = asyncio.get_running_loop().create_task(_log_unexpected_error(coro))
             self._tasks.append(task)
@@ -200,17 +200,17 @@
             no other daemon could claim them, and the leases of their hosts would
             expire.
         """
-        self.claims.leaving = True
+        self.claim_manager.leaving = True
         self._send_heartbeats()
         try:
             async with asyncio.timeout(store_wait):
-                while self.claims.pools and not await self._is_store_reachable():
+                while self.claim_manager.pools and not await self._is_store_reachable():
                     await asyncio.sleep(DRAIN_POLL_INTERVAL)
         except TimeoutError:
             log.warning(
                 "daemon: store did not answer in time; releasing the pools and stopping"
             )
-        await self.claims.give_up_all()
+        await self.claim_manager.release_all()
 
     async def _is_store_reachable(self) -> bool:
         try:
@@ -228,7 +228,7 @@
     async def close(self) -> None:
         """Stop every loop immediately, without releasing the pools."""
         self.job_writer.close()
-        await self.claims.close()
+        await self.claim_manager.close()
         tasks = [*self._tasks, *self._background_tasks]
         for task in tasks:
             task.cancel()
@@ -298,9 +298,11 @@
                     "daemon: process was suspended; owners must confirm their claims"
                 )
                 for owner in self.owners.values():
-                    owner.revoke_right()
+                    owner.revoke_confirmation()
             self._send_heartbeats()
-            await asyncio.sleep(OWNER_BEAT_TIME if self.claims.pools else BEAT_TIME)
+            await asyncio.sleep(
+                OWNER_BEAT_TIME if self.claim_manager.pools else BEAT_TIME
+            )
 
     def _make_heartbeat(self) -> Beat:
         now = asyncio.get_running_loop().time()
@@ -311,10 +313,10 @@
             self.member.incarnation,
             owned,
             age,
-            self.claims.leaving,
-            self.claims.able,
+            self.claim_manager.leaving,
+            self.claim_manager.can_claim,
             round(self.advisor_channels.backlog(now), 2),
-            self.claims.claiming,
+            self.claim_manager.claiming,
         )
 
     def _send_heartbeats(self) -> None:
@@ -324,7 +326,7 @@
 
     def _on_store_recovered(self) -> None:
         log.warning("daemon: store answers again; restarting pending reads")
-        self.claims.store_returned()
+        self.claim_manager.note_store_recovered()
         followers = [self.setup_follower, self.list, self.members_follower]
         followers += [owner.follower for owner in self.owners.values()]
         for follower in followers:
@@ -342,7 +344,7 @@
         known = self.job_service.setup
         if known is not None and setup.version <= known.version:
             return
-        self.job_service.setup = self.claims.setup = setup
+        self.job_service.setup = self.claim_manager.setup = setup
         log.info(
             "daemon: configuration applied",
             extra={"version": setup.version, "queues": len(setup.queues)},
@@ -362,7 +364,7 @@
             else:
                 self.hosts[item.key] = entry
         for owner in self.owners.values():
-            owner.hosts_listed(self.hosts)
+            owner.apply_host_list(self.hosts)
 
     def _owner_of(self, pool: str) -> str | None:
         """Return the daemon that owns a pool, which may be this one."""
@@ -375,11 +377,15 @@
         owner = self._owner_of(pool)
         if owner is not None:
             return owner
-        if pool in self.claims.pools:
+        if pool in self.claim_manager.pools:
             return self.member.node
         now = asyncio.get_running_loop().time()
         # A draining daemon never selects itself: the others no longer select it either.
-        age = float("inf") if self.claims.leaving else now - self.store.direct_answer_at
+        age = (
+            float("inf")
+            if self.claim_manager.leaving
+            else now - self.store.direct_answer_at
+        )
         return self.members.gatherer(pool, now, age)
 
     def _capacities(self, pool: str) -> list[Resources]:
@@ -394,7 +400,7 @@
                 self.members.hear(msg, now)
                 self.advisor_channels.record_backlog(msg.node, msg.backlog, now)
                 if msg.leaving:
-                    self.claims.wanted.set()
+                    self.claim_manager.check_requested.set()
                 self._check_for_later_terms(msg)
             case Hello():
                 self._register_member(
@@ -422,7 +428,7 @@
         for pool, term in heartbeat.owned:
             owner = self.owners.get(pool)
             if owner is not None and term > owner.term.number:
-                owner.doubt()
+                owner.recheck_claims()
 
     def _disconnected(self, peer: str) -> None:
         """Check whether a peer whose connection has closed is still running.
@@ -449,7 +455,7 @@
             },
         )
         self.members.ended(peer, now)
-        self.claims.wanted.set()
+        self.claim_manager.check_requested.set()
 
     def _run_in_background(self, coro: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(_log_unexpected_error(coro))
--- a/siskinroad/work/host_commands.py
+++ b/siskinroad/work/host_commands.py
@@ -39,7 +39,7 @@
         extra={"host": host.name, "pool": term.pool, "token": host.token},
     )
     host.record_failed_request()
-    term.doubted()
+    term.on_ownership_uncertain()
 
 
 class HostCommands:
@@ -66,13 +66,13 @@
         async with self._semaphore(host.name):
             now = loop.time()
             if not self.term.pool_state.may_send(host, effect.run):
-                self.term.carry_out(
+                self.term.execute_effects(
                     self.term.pool_state.drop_start(host, effect.run, now)
                 )
                 return
             until = host.lease_until(now)
-            if until is None or not self.term.may_act():
-                self.term.carry_out(
+            if until is None or not self.term.is_owner_confirmed():
+                self.term.execute_effects(
                     self.term.pool_state.note_start_not_sent(host, effect.run, now)
                 )
                 return
@@ -93,7 +93,7 @@
                 effect.ticket,
             )
             effects = await self._send_start(host, effect.run, command)
-        self.term.carry_out(effects)
+        self.term.execute_effects(effects)
         self.term.plan_wanted.set()
 
     async def _send_start(
@@ -104,7 +104,7 @@
         outcome = "started"
         try:
             async with asyncio.timeout(host.reply_timeout_s()):
-                reply = await self.term.parts.link.start(command)
+                reply = await self.term.dependencies.link.start(command)
         except NotSentError as exc:
             outcome = f"not sent: {exc}"
             effects = self.term.pool_state.note_start_not_sent(host, run, loop.time())
@@ -121,7 +121,7 @@
             effects = self._handle_start_reply(host, run, command, reply.rejection)
             if reply.rejection is not None:
                 outcome = reply.rejection.value
-        self.term.parts.metrics.starts.labels(outcome.partition(":")[0]).inc()
+        self.term.dependencies.metrics.starts.labels(outcome.partition(":")[0]).inc()
         log.info(
             "host_commands: start command",
             extra={
@@ -186,7 +186,7 @@
         """Send one stop; return its outcome and whether it is final."""
         try:
             async with asyncio.timeout(COMMAND_TIMEOUT):
-                reply = await self.term.parts.link.stop(command)
+                reply = await self.term.dependencies.link.stop(command)
         except (NotSentError, OutcomeUnknownError, TimeoutError) as exc:
             return f"unknown: {exc}", False
         if reply.rejection is None:
@@ -209,7 +209,7 @@
         try:
             async with self._semaphore(host.name), asyncio.timeout(COMMAND_TIMEOUT):
                 command = self._make_command(host, effect.run)
-                await self.term.parts.link.throttle(command, effect.percent)
+                await self.term.dependencies.link.throttle(command, effect.percent)
         except (NotSentError, OutcomeUnknownError, TimeoutError) as exc:
             outcome = f"unknown: {exc}"
             effect.run.speed_percent = -1
@@ -230,11 +230,11 @@
         if step is None:
             return
         try:
-            result = await self.term.parts.advisor_channels.request_advice(
+            result = await self.term.dependencies.advisor_channels.request_advice(
                 effect.step, effect.hosts, effect.duration
             )
         except SiskinroadError:
-            self.term.parts.metrics.retries.labels("advice").inc()
+            self.term.dependencies.metrics.retries.labels("advice").inc()
             await asyncio.sleep(ADVICE_RETRY_INTERVAL)
         else:
             until = loop.time() + result.valid
--- a/siskinroad/work/lease_renewer.py
+++ b/siskinroad/work/lease_renewer.py
@@ -52,7 +52,7 @@
             host = self.term.pool_state.hosts.get(name)
             if host is None:
                 return
-            if not self.term.may_act():
+            if not self.term.is_owner_confirmed():
                 await asyncio.sleep(RENEWAL_RETRY_INTERVAL)
                 continue
             wait = _report_wait(host) if host.settled and not host.is_failing else 0.0
@@ -75,7 +75,7 @@
         token = host.token
         try:
             async with asyncio.timeout(wait + host.reply_timeout_s()):
-                report = await self.term.parts.link.renew_lease(
+                report = await self.term.dependencies.link.renew_lease(
                     host.name,
                     host.entry.address,
                     token,
@@ -88,11 +88,11 @@
             return False
         if isinstance(report, Rejection):
             return self._handle_rejection(host, report, token)
-        now, wall = loop.time(), self.term.parts.wall()
+        now, wall = loop.time(), self.term.dependencies.wall()
         effects = self.term.pool_state.apply_report(
             host, report, token, sent_at, now, wall
         )
-        self.term.carry_out(effects)
+        self.term.execute_effects(effects)
         settled = self.term.pool_state.settle_tasks(now)
         if settled or report.ended or report.running:
             self.term.plan_wanted.set()
@@ -121,12 +121,12 @@
                 extra={"host": host.name},
             )
             host.record_failed_request()
-            self.term.carry_out(self.term.pool_state.replace_host(host, now))
+            self.term.execute_effects(self.term.pool_state.replace_host(host, now))
         return False
 
     async def _wait_until_stored(self, host: Host) -> None:
         """Wait briefly until the ends that a host has listed are stored."""
-        self.term.flush_wanted.set()
+        self.term.store_wanted.set()
         until = asyncio.get_running_loop().time() + RECORD_TIMEOUT
         while host.last_end_seen > host.last_end_stored:
             left = until - asyncio.get_running_loop().time()
@@ -150,7 +150,7 @@
                 run.state == "doubtful" for run in host.runs.values()
             ):
                 return
-            if self.term.may_act() and await self._renew_once(host, 0.0):
+            if self.term.is_owner_confirmed() and await self._renew_once(host, 0.0):
                 self.term.plan_wanted.set()
                 return
             await asyncio.sleep(RECONCILE_RETRY_INTERVAL)
--- a/siskinroad/work/members.py
+++ b/siskinroad/work/members.py
@@ -103,7 +103,7 @@
         heard = self.heard.get(node)
         return heard is not None and now - heard.at <= ALIVE_TIME
 
-    def is_later_life(self, node: str, incarnation: int) -> bool:
+    def has_later_incarnation(self, node: str, incarnation: int) -> bool:
         """Return whether a later incarnation of a daemon is known."""
         if node == self.node:
             return incarnation < self.incarnation
@@ -172,7 +172,7 @@
         for node in self.reaches_store(now):
             beat = self.heard[node].beat
             # A daemon that has just started defers to others, but others not to it.
-            if not beat.able:
+            if not beat.can_claim:
                 continue
             if (len(beat.owned), _rank(pool, node)) < own:
                 return False
--- a/siskinroad/work/messages.py
+++ b/siskinroad/work/messages.py
@@ -38,7 +38,7 @@
         Seconds since the store last replied to the sender.
     leaving : bool
         Whether the sender is about to stop.
-    able : bool
+    can_claim : bool
         Whether the sender has been up for long enough to claim a pool.
     backlog : float
         Backlog in seconds of the sender's channel to the advisor.
@@ -51,7 +51,7 @@
     owned: tuple[tuple[str, int], ...]
     store_age: float
     leaving: bool
-    able: bool
+    can_claim: bool
     backlog: float = 0.0
     claiming: tuple[str, ...] = ()
 
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -6,7 +6,7 @@
 import logging
 
 from siskinroad.errors import SiskinroadError
-from siskinroad.work.claim import Inheritance, release_pool
+from siskinroad.work.claim import InheritedState, release_pool
 from siskinroad.work.effects import (
     Effect,
     ReconcileHost,
@@ -21,7 +21,7 @@
 from siskinroad.work.lease_renewer import LeaseRenewer
 from siskinroad.work.model import HostEntry, Setup
 from siskinroad.work.planner import Planner
-from siskinroad.work.progress import Deposed, ProgressLog
+from siskinroad.work.progress import OwnershipLostError, ProgressLog
 from siskinroad.work.records import (
     OWNER_KEY,
     Accepted,
@@ -31,9 +31,9 @@
 )
 from siskinroad.work.run_monitor import RunMonitor
 from siskinroad.work.store import NewestRecord, StoreUnknownError
-from siskinroad.work.term import RIGHT_TIME, OwnerParts, Term
+from siskinroad.work.term import OWNERSHIP_TIMEOUT_S, OwnerDependencies, Term
 
-__all__ = ["Deposed", "PoolOwner"]
+__all__ = ["OwnershipLostError", "PoolOwner"]
 
 # Seconds between two checks of everything that depends on time.
 TICK_INTERVAL = 0.2
@@ -55,45 +55,51 @@
 
     Parameters
     ----------
-    inherited : Inheritance
+    inherited : InheritedState
         The state that the claim found in the store.
     """
 
     def __init__(
-        self, pool: str, parts: OwnerParts, inherited: Inheritance, setup: Setup
+        self,
+        pool: str,
+        dependencies: OwnerDependencies,
+        inherited: InheritedState,
+        setup: Setup,
     ) -> None:
         self.pool = pool
-        self.parts = parts
-        self.term = Term(pool, inherited.term, parts)
-        self.term.carry_out = self._carry_out
-        self.term.doubted = self.doubt
+        self.dependencies = dependencies
+        self.term = Term(pool, inherited.term, dependencies)
+        self.term.execute_effects = self._execute_effects
+        self.term.on_ownership_uncertain = self.recheck_claims
         self.pool_state = self.term.pool_state
         self.pool_state.configure(setup)
         self.planner = Planner(self.pool_state)
-        self.run_monitor = RunMonitor(self.pool_state, parts.timing)
+        self.run_monitor = RunMonitor(self.pool_state, dependencies.timing)
         self.progress = ProgressLog(self.term, inherited.hosts)
         self.host_commands = HostCommands(self.term)
         self.lease_renewer = LeaseRenewer(self.term, self.progress)
         self._rechecked_at = -1e9
         self.former = inherited.former
-        self._former_alone = inherited.former_alone
-        self._former_released = inherited.released_term >= inherited.former_term
+        self._is_former_sole_owner = inherited.is_former_sole_owner
+        self._is_former_released = inherited.released_term >= inherited.former_term
         self._load_inherited(inherited)
-        self.follower = Follower(parts.store, job_topic(pool), self._apply_records)
+        self.follower = Follower(
+            dependencies.store, job_topic(pool), self._apply_records
+        )
         self.follower.next_offset = inherited.next_offset
         # The claim has read every record before its own.
         self.follower.confirmed_at = asyncio.get_running_loop().time()
 
-    def _load_inherited(self, inherited: Inheritance) -> None:
+    def _load_inherited(self, inherited: InheritedState) -> None:
         loop = asyncio.get_running_loop()
-        now, wall = loop.time(), self.parts.wall()
+        now, wall = loop.time(), self.dependencies.wall()
         pool_state = self.pool_state
         if inherited.former is None:
             pool_state.settled = True
         else:
             pool_state.settled = False
             names = inherited.hosts.names if inherited.hosts else ()
-            pool_state.expect_hosts(names, now + RIGHT_TIME + LEASE_S * 1.1)
+            pool_state.expect_hosts(names, now + OWNERSHIP_TIMEOUT_S + LEASE_S * 1.1)
             self._check_former_owner(now)
         for accepted in inherited.accepted.values():
             pool_state.accept(accepted, now, wall, is_new=False)
@@ -101,9 +107,9 @@
             pool_state.restore(progress, now)
         for job_id in inherited.cancelled:
             pool_state.cancel(job_id, now, wall)
-        self.term.right_until = inherited.claimed_at + RIGHT_TIME
+        self.term.owned_until = inherited.claimed_at + OWNERSHIP_TIMEOUT_S
         log.info(
-            "owner: begins its term",
+            "owner: term started",
             extra={
                 "pool": self.pool,
                 "term": self.term.number,
@@ -116,10 +122,10 @@
     def _check_former_owner(self, now: float) -> None:
         """Shorten the wait for silent hosts once the former owner has stopped."""
         former = self.former
-        if former is None or not self._former_alone:
+        if former is None or not self._is_former_sole_owner:
             return
-        later = self.parts.is_later_life(former.node, former.incarnation)
-        if self._former_released or later:
+        later = self.dependencies.has_later_incarnation(former.node, former.incarnation)
+        if self._is_former_released or later:
             self.pool_state.note_former_owner_dead(now + LEASE_S * 1.1)
             self.former = None
 
@@ -130,7 +136,7 @@
 
         Raises
         ------
-        Deposed
+        OwnershipLostError
             Another daemon has claimed the pool.
         """
         try:
@@ -140,7 +146,7 @@
                 group.create_task(self._run_planning())
                 group.create_task(self.progress.run())
                 group.create_task(self._run_ticks())
-        except* Deposed as excs:
+        except* OwnershipLostError as excs:
             raise excs.exceptions[0] from None
         finally:
             self.term.group = None
@@ -158,25 +164,25 @@
                 extra={**extra, "error": str(exc)},
             )
         try:
-            await release_pool(self.parts.store, self.pool, self.term.number)
+            await release_pool(self.dependencies.store, self.pool, self.term.number)
         except SiskinroadError as exc:
             log.warning(
                 "owner: release of the pool not stored",
                 extra={**extra, "error": str(exc)},
             )
 
-    def revoke_right(self) -> None:
+    def revoke_confirmation(self) -> None:
         """Stop acting until the claim is confirmed again, as after a suspension."""
-        self.term.right_until = -1e9
+        self.term.owned_until = -1e9
         self.follower.confirmed_at = -1e9
 
-    def doubt(self) -> None:
+    def recheck_claims(self) -> None:
         """Reread the claims now, and stop acting until they are confirmed.
 
         Called when a host has accepted a higher token, or when another daemon
         reports a higher term.
         """
-        self.revoke_right()
+        self.revoke_confirmation()
         now = asyncio.get_running_loop().time()
         if now - self._rechecked_at >= CLAIM_RECHECK_INTERVAL:
             self._rechecked_at = now
@@ -189,7 +195,7 @@
         self.pool_state.configure(setup)
         self.term.plan_wanted.set()
 
-    def hosts_listed(self, entries: dict[str, HostEntry]) -> None:
+    def apply_host_list(self, entries: dict[str, HostEntry]) -> None:
         """Apply the live host list."""
         now = asyncio.get_running_loop().time()
         for entry in entries.values():
@@ -209,7 +215,7 @@
     ) -> None:
         self._check_claims(items)
         now = asyncio.get_running_loop().time()
-        wall = self.parts.wall()
+        wall = self.dependencies.wall()
         for item in items:
             if item.value:
                 self._apply_record(item, now, wall)
@@ -219,8 +225,8 @@
         """Raise before any job is accepted that was stored after a later claim."""
         for item in items:
             if item.key == OWNER_KEY and item.offset + 1 > self.term.number:
-                self.term.right_until = -1e9
-                raise Deposed(
+                self.term.owned_until = -1e9
+                raise OwnershipLostError(
                     f"pool claimed by another daemon in term {item.offset + 1}",
                     step="owner",
                 )
@@ -242,7 +248,7 @@
                 )
                 if not known:
                     log.info(
-                        "owner: job taken in",
+                        "owner: job accepted",
                         extra={
                             "request": job,
                             "queue": stored.queue,
@@ -251,8 +257,8 @@
                         },
                     )
             case Cancelled(job=job):
-                self._carry_out(self.pool_state.cancel(job, now, wall))
-                self.term.flush_wanted.set()
+                self._execute_effects(self.pool_state.cancel(job, now, wall))
+                self.term.store_wanted.set()
 
     # Planning
 
@@ -262,30 +268,30 @@
             await self.term.plan_wanted.wait()
             await asyncio.sleep(PLAN_DELAY)
             self.term.plan_wanted.clear()
-            if not self.term.may_act():
+            if not self.term.is_owner_confirmed():
                 continue
-            now, wall = loop.time(), self.parts.wall()
-            channels = self.parts.advisor_channels.channel_times(now)
-            self._carry_out(self.planner.plan(now, wall, channels))
+            now, wall = loop.time(), self.dependencies.wall()
+            channels = self.dependencies.advisor_channels.channel_times(now)
+            self._execute_effects(self.planner.plan(now, wall, channels))
 
     async def _run_ticks(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(TICK_INTERVAL)
-            now, wall = loop.time(), self.parts.wall()
-            confirmed = self.follower.confirmed_at + RIGHT_TIME
-            self.term.right_until = max(self.term.right_until, confirmed)
+            now, wall = loop.time(), self.dependencies.wall()
+            confirmed = self.follower.confirmed_at + OWNERSHIP_TIMEOUT_S
+            self.term.owned_until = max(self.term.owned_until, confirmed)
             self._check_former_owner(now)
             effects = self.pool_state.expire_silent_hosts(now)
             self.pool_state.settle_tasks(now)
             self.pool_state.open_due(now, wall, EARLY_START_TIME)
             effects += self.run_monitor.check_runs(now, wall)
-            self._carry_out(effects)
+            self._execute_effects(effects)
             if self.progress.due:
-                self.term.flush_wanted.set()
+                self.term.store_wanted.set()
             self.term.plan_wanted.set()
 
-    def _carry_out(self, effects: list[Effect]) -> None:
+    def _execute_effects(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case StartRun():
@@ -299,7 +305,7 @@
                 case RequestAdvice():
                     self.term.spawn(self.host_commands.request_advice(effect))
         if self.pool_state.dirty:
-            self.term.flush_wanted.set()
+            self.term.store_wanted.set()
 
     # Requests from callers
 
@@ -338,10 +344,10 @@
             return False
         if job.recorded:
             return True
-        now, wall = asyncio.get_running_loop().time(), self.parts.wall()
+        now, wall = asyncio.get_running_loop().time(), self.dependencies.wall()
         waiter = self.progress.get_recorded_event(job_id)
-        self._carry_out(self.pool_state.cancel(job_id, now, wall))
-        self.term.flush_wanted.set()
+        self._execute_effects(self.pool_state.cancel(job_id, now, wall))
+        self.term.store_wanted.set()
         try:
             async with asyncio.timeout(timeout):
                 await waiter.wait()
--- a/siskinroad/work/progress.py
+++ b/siskinroad/work/progress.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from siskinroad.errors import SiskinroadError
-from siskinroad.work.claim import PRODUCER
+from siskinroad.work.claim import PROGRESS_PRODUCER
 from siskinroad.work.job import Job
 from siskinroad.work.records import HostSet, progress_topic, record_of
 from siskinroad.work.store import (
@@ -19,7 +19,7 @@
 )
 from siskinroad.work.term import Term
 
-__all__ = ["Deposed", "ProgressLog"]
+__all__ = ["OwnershipLostError", "ProgressLog"]
 
 # Seconds between two appends of progress, so that one append carries many ends.
 FLUSH_INTERVAL = 0.08
@@ -33,7 +33,7 @@
 log = logging.getLogger("siskinroad.progress")
 
 
-class Deposed(SiskinroadError):
+class OwnershipLostError(SiskinroadError):
     """Ownership was lost: another daemon has claimed the pool."""
 
 
@@ -72,7 +72,7 @@
 
     def get_recorded_event(self, job_id: str) -> asyncio.Event:
         """Return an event that is set once the job's outcome is stored."""
-        self.term.flush_wanted.set()
+        self.term.store_wanted.set()
         return self._waiters.setdefault(job_id, asyncio.Event())
 
     async def run(self) -> None:
@@ -80,12 +80,12 @@
 
         Raises
         ------
-        Deposed
+        OwnershipLostError
             A later term has fenced this one.
         """
         while True:
-            await self.term.flush_wanted.wait()
-            self.term.flush_wanted.clear()
+            await self.term.store_wanted.wait()
+            self.term.store_wanted.clear()
             try:
                 await self.flush()
             except (StoreUnavailableError, StoreUnknownError) as exc:
@@ -93,11 +93,11 @@
                     "progress: append failed; retrying",
                     extra={"pool": self.term.pool, "error": str(exc)},
                 )
-                self.term.flush_wanted.set()
+                self.term.store_wanted.set()
                 await asyncio.sleep(FLUSH_RETRY_INTERVAL)
                 continue
             except FencedError as exc:
-                raise Deposed(
+                raise OwnershipLostError(
                     "progress append was fenced by a later term", step="progress.flush"
                 ) from exc
             await asyncio.sleep(FLUSH_INTERVAL)
@@ -120,8 +120,8 @@
             self._batch = self._make_batch()
         batch = self._batch
         if batch.records:
-            fence = Fence(PRODUCER, self.term.number, self._sequence + 1)
-            await self.term.parts.store.append(
+            fence = Fence(PROGRESS_PRODUCER, self.term.number, self._sequence + 1)
+            await self.term.dependencies.store.append(
                 progress_topic(self.term.pool),
                 list(batch.records),
                 fence=fence,
@@ -131,7 +131,7 @@
         self._batch = None
         self._mark_recorded(batch)
         if self.term.pool_state.dirty:
-            self.term.flush_wanted.set()
+            self.term.store_wanted.set()
 
     def _make_batch(self) -> _Batch:
         changed = list(self.term.pool_state.dirty)[:MAX_RECORDS_PER_APPEND]
--- a/siskinroad/work/term.py
+++ b/siskinroad/work/term.py
@@ -1,4 +1,4 @@
-"""State shared by the parts of a pool's owner: pool state, right to act, events."""
+"""State shared by the components of a pool's owner: pool state, term, events."""
 
 from __future__ import annotations
 
@@ -15,17 +15,17 @@
 from siskinroad.work.store import Store
 from siskinroad.work.workmetrics import WorkMetrics
 
-__all__ = ["RIGHT_TIME", "OwnerParts", "Term"]
+__all__ = ["OWNERSHIP_TIMEOUT_S", "OwnerDependencies", "Term"]
 
 # Seconds after its last confirmed read of the claims for which an owner may act without
 # the store. A smaller value stops owners during an outage of the store; a larger one
 # delays a successor, which waits this long before it abandons silent hosts if it does
 # not know that the former owner is dead.
-RIGHT_TIME = 10.0
+OWNERSHIP_TIMEOUT_S = 10.0
 
 
 @dataclass(slots=True, frozen=True)
-class OwnerParts:
+class OwnerDependencies:
     """Dependencies of an owner; the same for every pool of a daemon.
 
     Attributes
@@ -34,7 +34,7 @@
         Name of the daemon, and the number of its current incarnation.
     wall : callable
         Returns the Unix time in seconds.
-    is_later_life : callable
+    has_later_incarnation : callable
         Returns whether a later incarnation of a daemon than the one given is known.
     """
 
@@ -46,41 +46,41 @@
     timing: Timing
     metrics: WorkMetrics
     wall: Callable[[], float]
-    is_later_life: Callable[[str, int], bool]
+    has_later_incarnation: Callable[[str, int], bool]
 
 
 class Term:
-    """One term of ownership of one pool, shared by all parts of the owner.
+    """One term of ownership of one pool, shared by all components of the owner.
 
     Attributes
     ----------
-    right_until : float
+    owned_until : float
         Loop time until which the owner may act without a further confirmation.
-    plan_wanted, flush_wanted : asyncio.Event
+    plan_wanted, store_wanted : asyncio.Event
         Set when a task may be placed, and when records are to be stored.
-    carry_out : callable
+    execute_effects : callable
         Executes effects that the pool state returns.
-    doubted : callable
+    on_ownership_uncertain : callable
         Called when the ownership is uncertain: another daemon seems to own the pool.
     group : asyncio.TaskGroup or None
         Group of all asyncio tasks of the owner; None while it does not run.
     """
 
-    def __init__(self, pool: str, number: int, parts: OwnerParts) -> None:
+    def __init__(self, pool: str, number: int, dependencies: OwnerDependencies) -> None:
         self.pool = pool
         self.number = number
-        self.parts = parts
+        self.dependencies = dependencies
         self.pool_state = PoolState(pool, number)
-        self.right_until = -1e9
+        self.owned_until = -1e9
         self.plan_wanted = asyncio.Event()
-        self.flush_wanted = asyncio.Event()
-        self.carry_out: Callable[[list[Effect]], None] = lambda effects: None
-        self.doubted: Callable[[], None] = lambda: None
+        self.store_wanted = asyncio.Event()
+        self.execute_effects: Callable[[list[Effect]], None] = lambda effects: None
+        self.on_ownership_uncertain: Callable[[], None] = lambda: None
         self.group: asyncio.TaskGroup | None = None
 
-    def may_act(self) -> bool:
+    def is_owner_confirmed(self) -> bool:
         """Return whether the claim was confirmed recently enough."""
-        return asyncio.get_running_loop().time() < self.right_until
+        return asyncio.get_running_loop().time() < self.owned_until
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> asyncio.Task[None] | None:
         """Run a coroutine in the owner's task group; close it if there is none."""
--- a/tests/work/test_claim.py
+++ b/tests/work/test_claim.py
@@ -3,7 +3,7 @@
 import pytest
 
 from bench.clock import run
-from siskinroad.work.claim import PRODUCER, claim_pool, release_pool
+from siskinroad.work.claim import PROGRESS_PRODUCER, claim_pool, release_pool
 from siskinroad.work.records import (
     Accepted,
     HostSet,
@@ -67,11 +67,15 @@
         )
         low, high = sorted((one.term, two.term))
         await store.append(
-            progress_topic(POOL), [Record("k", b"v")], fence=Fence(PRODUCER, high, 1)
+            progress_topic(POOL),
+            [Record("k", b"v")],
+            fence=Fence(PROGRESS_PRODUCER, high, 1),
         )
         with pytest.raises(FencedError):
             await store.append(
-                progress_topic(POOL), [Record("k", b"w")], fence=Fence(PRODUCER, low, 1)
+                progress_topic(POOL),
+                [Record("k", b"w")],
+                fence=Fence(PROGRESS_PRODUCER, low, 1),
             )
 
     run(scenario())
@@ -95,13 +99,15 @@
         store = MemoryStore(MemoryLogs())
         first = await claim_pool(store, POOL, OWNER_A)
         second = await claim_pool(store, POOL, OWNER_B)
-        assert not second.former_alone
+        assert not second.is_former_sole_owner
         hosts = record_of(HostSet(("i-0",), second.term, True))
         await store.append(
-            progress_topic(POOL), [hosts], fence=Fence(PRODUCER, second.term, 1)
+            progress_topic(POOL),
+            [hosts],
+            fence=Fence(PROGRESS_PRODUCER, second.term, 1),
         )
         third = await claim_pool(store, POOL, OWNER_A)
-        assert third.former_alone and first.former_alone
+        assert third.is_former_sole_owner and first.is_former_sole_owner
 
     run(scenario())
 
--- a/tests/work/test_follower.py
+++ b/tests/work/test_follower.py
@@ -6,7 +6,7 @@
 
 from bench.clock import run
 from siskinroad.work.follower import Follower
-from siskinroad.work.progress import Deposed
+from siskinroad.work.progress import OwnershipLostError
 from siskinroad.work.store import NewestPage, ReadResult, Record, TrimmedError
 from siskinroad.work.store_memory import MemoryLogs, MemoryStore
 
@@ -97,10 +97,10 @@
         await store.append("t", [Record("a", b"1")])
 
         def refuse(items, is_snapshot):
-            raise Deposed("a later claim", step="test")
+            raise OwnershipLostError("a later claim", step="test")
 
         follower = Follower(store, "t", refuse)
-        with pytest.raises(Deposed):
+        with pytest.raises(OwnershipLostError):
             await follower.run()
         assert follower.confirmed_at < 0
 
--- a/tests/work/test_members.py
+++ b/tests/work/test_members.py
@@ -5,8 +5,10 @@
 from siskinroad.work.records import Member
 
 
-def heartbeat(node, owned=(), incarnation=1, store_age=0.1, leaving=False, able=True):
-    return Beat(node, incarnation, tuple(owned), store_age, leaving, able)
+def heartbeat(
+    node, owned=(), incarnation=1, store_age=0.1, leaving=False, can_claim=True
+):
+    return Beat(node, incarnation, tuple(owned), store_age, leaving, can_claim)
 
 
 def make_members(*heartbeats, node="a", now=10.0):
@@ -21,7 +23,7 @@
     names = [each.node for each in heartbeats]
     found = []
     for each in heartbeats:
-        if not each.able:
+        if not each.can_claim:
             continue
         members = make_members(
             *[b for b in heartbeats if b.node != each.node], node=each.node
@@ -39,7 +41,7 @@
 def test_a_daemon_that_has_just_started_does_not_keep_others_from_claiming():
     # Daemons restart one after another, each with the best rank for the pool.
     for starting in "abc":
-        heartbeats = [heartbeat(n, able=n != starting) for n in "abc"]
+        heartbeats = [heartbeat(n, can_claim=n != starting) for n in "abc"]
         assert len(find_claimants("p", *heartbeats)) == 1
 
 
@@ -68,7 +70,7 @@
     members = make_members(heartbeat("b", [("p", 4)]))
     members.hear(heartbeat("b", incarnation=2), 10.1)
     assert members.owner("p", 10.1) is None
-    assert members.is_later_life("b", 1)
+    assert members.has_later_incarnation("b", 1)
     members.hear(heartbeat("b", [("p", 4)]), 10.2)
     assert members.owner("p", 10.2) is None
 
@@ -104,7 +106,7 @@
     assert members.owner("p", 10.1) is None
     assert members.was_released("p", 10.1)
     assert members.alive(10.1) == ["c"]
-    assert not members.is_later_life("b", 1)
+    assert not members.has_later_incarnation("b", 1)
 
 
 def test_a_heartbeat_after_a_suspected_end_makes_the_daemon_live_again():
