--- a/siskinroad/work/claim_manager.py
+++ b/siskinroad/work/claim_manager.py
@@ -21,7 +21,7 @@
 from siskinroad.peers import Peers, Reach
 from siskinroad.work.claim import claim_pool
 from siskinroad.work.members import Members
-from siskinroad.work.model import HostEntry, Setup
+from siskinroad.work.model import Configuration, HostEntry
 from siskinroad.work.owner import OwnershipLostError, PoolOwner
 from siskinroad.work.records import Member, OwnerRecord
 from siskinroad.work.relay import RelayStore
@@ -66,7 +66,7 @@
 
     Attributes
     ----------
-    setup : Setup or None
+    configuration : Configuration or None
         The configuration in force; nothing is claimed without one.
     leaving : bool
         Whether this daemon is stopping and claims no more pools.
@@ -86,7 +86,7 @@
         hosts: dict[str, HostEntry],
         send_heartbeat: Callable[[], None],
     ) -> None:
-        self.setup: Setup | None = None
+        self.configuration: Configuration | None = None
         self.leaving = False
         self.owners: dict[str, PoolOwner] = {}
         self.check_requested = asyncio.Event()
@@ -116,7 +116,7 @@
     def can_claim(self) -> bool:
         """Whether this daemon is up long enough, configured and not leaving."""
         is_up_long_enough = self._uptime() >= CLAIM_STARTUP_DELAY
-        return is_up_long_enough and self.setup is not None and not self.leaving
+        return is_up_long_enough and self.configuration is not None and not self.leaving
 
     def _uptime(self) -> float:
         return asyncio.get_running_loop().time() - self._started_at
@@ -131,7 +131,7 @@
             except TimeoutError:
                 pass
             self.check_requested.clear()
-            for pool in self.setup.pools if self.setup else ():
+            for pool in self.configuration.pools if self.configuration else ():
                 should_claim = pool not in self._pool_tasks and self._should_claim(
                     pool, loop.time()
                 )
@@ -216,7 +216,7 @@
             self._vacant_since.pop(pool, None)
 
     async def _claim_pool(self, pool: str) -> PoolOwner:
-        assert self.setup is not None
+        assert self.configuration is not None
         record = OwnerRecord(self._member.node, self._member.incarnation)
         started_at = asyncio.get_running_loop().time()
         inherited = await claim_pool(
@@ -225,7 +225,7 @@
             record,
             lambda former: self._has_live_owner(pool, former, started_at),
         )
-        owner = PoolOwner(pool, self._dependencies, inherited, self.setup)
+        owner = PoolOwner(pool, self._dependencies, inherited, self.configuration)
         self.owners[pool] = owner
         self._send_heartbeat()
         # Deferred until the owner runs: before that, its tasks cannot be spawned.
--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -29,9 +29,9 @@
     SubmitReply,
     SubmitRequest,
 )
-from siskinroad.work.model import HostEntry, Setup, Timing
-from siskinroad.work.outside import Outside
+from siskinroad.work.model import Configuration, HostEntry, Timing
 from siskinroad.work.peer_calls import PeerCalls
+from siskinroad.work.platform_clients import PlatformClients
 from siskinroad.work.records import (
     MEMBERS_TOPIC,
     Member,
@@ -78,14 +78,14 @@
     def __init__(
         self,
         member: Member,
-        outside: Outside,
+        platform_clients: PlatformClients,
         peers: Peers,
         register_address: Callable[[Member], None],
         timing: Timing,
         wall: Callable[[], float],
     ) -> None:
         self.member = member
-        self.outside = outside
+        self.platform_clients = platform_clients
         self.peers = peers
         self.wall = wall
         self.metrics = WorkMetrics()
@@ -98,18 +98,20 @@
         now = asyncio.get_running_loop().time
         self.peer_calls = PeerCalls(peers, member.incarnation << 20)
         self.store = RelayStore(
-            outside.store, self.peer_calls, lambda: self.members.reaches_store(now())
+            platform_clients.store,
+            self.peer_calls,
+            lambda: self.members.reaches_store(now()),
         )
         self.store.on_recovered = self._on_store_recovered
         self.store_probe = StoreProbe(
-            outside.store,
+            platform_clients.store,
             MEMBERS_TOPIC,
             lambda: self.store.direct_answer_at,
             self.store.record_direct_answer,
         )
         self.advisor_channels = AdvisorChannels(
             member.node,
-            outside.advisor,
+            platform_clients.advisor,
             self.peer_calls,
             lambda: self.members.alive(now()),
         )
@@ -117,7 +119,7 @@
             member.node,
             member.incarnation,
             self.store,
-            outside.link,
+            platform_clients.link,
             self.advisor_channels,
             timing,
             self.metrics,
@@ -157,11 +159,11 @@
         peers.receiver = self._receive
         peers.connected = self._connected
         peers.disconnected = self._disconnected
-        decoder = outside.decoder
-        self.setup_follower = Follower(
-            self.store, decoder.setup_topic, self._apply_setups
+        decoder = platform_clients.decoder
+        self.configuration_follower = Follower(
+            self.store, decoder.configuration_topic, self._apply_configurations
         )
-        self.list = Follower(
+        self.hosts_follower = Follower(
             self.store,
             decoder.hosts_topic,
             self._apply_host_list,
@@ -174,15 +176,18 @@
     @property
     def ready(self) -> bool:
         """Whether this daemon should receive requests from callers."""
-        return self.job_service.setup is not None and not self.claim_manager.leaving
+        return (
+            self.job_service.configuration is not None
+            and not self.claim_manager.leaving
+        )
 
     def start(self) -> None:
         """Start the daemon's background loops."""
         for coro in (
             self._run_registration(),
-            self.setup_follower.run(),
+            self.configuration_follower.run(),
             self.members_follower.run(),
-            self.list.run(),
+            self.hosts_follower.run(),
             self.store_probe.run(),
             self._run_heartbeats(),
             self.claim_manager.run(),
@@ -327,30 +332,43 @@
     def _on_store_recovered(self) -> None:
         log.warning("daemon: store answers again; restarting pending reads")
         self.claim_manager.note_store_recovered()
-        followers = [self.setup_follower, self.list, self.members_follower]
+        followers = [
+            self.configuration_follower,
+            self.hosts_follower,
+            self.members_follower,
+        ]
         followers += [owner.follower for owner in self.owners.values()]
         for follower in followers:
             follower.restart_read()
 
     # Configuration and hosts
 
-    def _apply_setups(self, items: tuple[NewestRecord, ...], is_snapshot: bool) -> None:
+    def _apply_configurations(
+        self, items: tuple[NewestRecord, ...], is_snapshot: bool
+    ) -> None:
         for item in items:
-            setup = self.outside.decoder.setup(item.key, item.value)
-            if setup is not None:
-                self._activate_setup(setup)
+            configuration = self.platform_clients.decoder.decode_configuration(
+                item.key, item.value
+            )
+            if configuration is not None:
+                self._activate_configuration(configuration)
 
-    def _activate_setup(self, setup: Setup) -> None:
-        known = self.job_service.setup
-        if known is not None and setup.version <= known.version:
+    def _activate_configuration(self, configuration: Configuration) -> None:
+        known = self.job_service.configuration
+        if known is not None and configuration.version <= known.version:
             return
-        self.job_service.setup = self.claim_manager.setup = setup
+        self.job_service.configuration = self.claim_manager.configuration = (
+            configuration
+        )
         log.info(
             "daemon: configuration applied",
-            extra={"version": setup.version, "queues": len(setup.queues)},
+            extra={
+                "version": configuration.version,
+                "queues": len(configuration.queues),
+            },
         )
         for owner in self.owners.values():
-            owner.configure(setup)
+            owner.configure(configuration)
 
     def _apply_host_list(
         self, items: tuple[NewestRecord, ...], is_snapshot: bool
@@ -358,7 +376,7 @@
         if is_snapshot:
             self.hosts.clear()
         for item in items:
-            entry = self.outside.decoder.host(item.key, item.value)
+            entry = self.platform_clients.decoder.decode_host(item.key, item.value)
             if entry is None:
                 self.hosts.pop(item.key, None)
             else:
--- a/siskinroad/work/job_service.py
+++ b/siskinroad/work/job_service.py
@@ -16,7 +16,7 @@
 from siskinroad.resources import Resources
 from siskinroad.work.job_writer import JobWriter
 from siskinroad.work.messages import JobReply, JobRequest, SubmitOutcome
-from siskinroad.work.model import JobSpec, Queue, Setup
+from siskinroad.work.model import Configuration, JobSpec, Queue
 from siskinroad.work.owner import PoolOwner
 from siskinroad.work.peer_calls import PeerCalls
 from siskinroad.work.records import Accepted, Cancelled, record_of
@@ -116,8 +116,8 @@
         wall: Callable[[], float],
         last_store_answer_at: Callable[[], float],
     ) -> None:
-        self.setup: Setup | None = None
-        self.setup_at = 0.0
+        self.configuration: Configuration | None = None
+        self.configuration_at = 0.0
         self._node = node
         self._job_writer = job_writer
         self._peer_calls = peer_calls
@@ -133,9 +133,9 @@
 
     def find_queue(self, virtual_host: str, path: str) -> Queue | CallerReply:
         """Return the queue that serves a request, or the refusal if there is none."""
-        if self.setup is None:
+        if self.configuration is None:
             return _refuse_for_now("no_configuration")
-        queue = self.setup.find_queue(virtual_host, path)
+        queue = self.configuration.find_queue(virtual_host, path)
         return queue or CallerReply(ReplyKind.NO_QUEUE, reason="no_queue")
 
     async def submit(
@@ -267,7 +267,7 @@
                 "request": subject,
                 "verb": verb,
                 "queue": queue.name if queue else None,
-                "version": self.setup.version if self.setup else None,
+                "version": self.configuration.version if self.configuration else None,
                 "store_age_s": round(self._store_age(), 1),
                 "owner": self._find_owner(queue.pool) if queue else None,
                 "outcome": reply.kind.value,
--- a/siskinroad/work/job_table.py
+++ b/siskinroad/work/job_table.py
@@ -10,7 +10,7 @@
 
 from siskinroad.health import Health
 from siskinroad.work.job import Job, JobState, StepRun, Task, make_job
-from siskinroad.work.model import Queue, Setup, TaskId
+from siskinroad.work.model import Configuration, Queue, TaskId
 from siskinroad.work.records import Accepted, Progress
 from siskinroad.work.speed import Speeds
 
@@ -49,7 +49,7 @@
     def __init__(self, pool: str, term: int) -> None:
         self.pool = pool
         self.term = term
-        self.setup: Setup | None = None
+        self.configuration: Configuration | None = None
         self.queues: dict[str, Queue] = {}
         self.jobs: dict[str, Job] = {}
         self.ready: dict[tuple[str, int, int], StepRun] = {}
@@ -59,10 +59,10 @@
         self.speeds = Speeds()
         self.settled = False
 
-    def configure(self, setup: Setup) -> None:
+    def configure(self, configuration: Configuration) -> None:
         """Apply a configuration; queues it no longer lists keep their last rules."""
-        self.setup = setup
-        for queue in setup.queues:
+        self.configuration = configuration
+        for queue in configuration.queues:
             self.queues[queue.name] = queue
 
     def accept(self, accepted: Accepted, now: float, wall: float, is_new: bool) -> Job:
--- a/siskinroad/work/model.py
+++ b/siskinroad/work/model.py
@@ -10,10 +10,10 @@
 
 __all__ = [
     "Advice",
+    "Configuration",
     "HostEntry",
     "JobSpec",
     "Queue",
-    "Setup",
     "Step",
     "TaskId",
     "Timing",
@@ -175,7 +175,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Setup:
+class Configuration:
     """Version of the operators' configuration."""
 
     version: int
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -19,7 +19,7 @@
 from siskinroad.work.host import LEASE_S
 from siskinroad.work.host_commands import HostCommands
 from siskinroad.work.lease_renewer import LeaseRenewer
-from siskinroad.work.model import HostEntry, Setup
+from siskinroad.work.model import Configuration, HostEntry
 from siskinroad.work.planner import Planner
 from siskinroad.work.progress import OwnershipLostError, ProgressLog
 from siskinroad.work.records import (
@@ -64,7 +64,7 @@
         pool: str,
         dependencies: OwnerDependencies,
         inherited: InheritedState,
-        setup: Setup,
+        configuration: Configuration,
     ) -> None:
         self.pool = pool
         self.dependencies = dependencies
@@ -72,7 +72,7 @@
         self.term.execute_effects = self._execute_effects
         self.term.on_ownership_uncertain = self.recheck_claims
         self.pool_state = self.term.pool_state
-        self.pool_state.configure(setup)
+        self.pool_state.configure(configuration)
         self.planner = Planner(self.pool_state)
         self.run_monitor = RunMonitor(self.pool_state, dependencies.timing)
         self.progress = ProgressLog(self.term, inherited.hosts)
@@ -190,9 +190,9 @@
 
     # Updates from the daemon
 
-    def configure(self, setup: Setup) -> None:
+    def configure(self, configuration: Configuration) -> None:
         """Apply a configuration."""
-        self.pool_state.configure(setup)
+        self.pool_state.configure(configuration)
         self.term.plan_wanted.set()
 
     def apply_host_list(self, entries: dict[str, HostEntry]) -> None:
--- a/siskinroad/work/outside.py
+++ b/siskinroad/work/platform_clients.py
@@ -7,10 +7,10 @@
 
 from siskinroad.work.advice import Advisor
 from siskinroad.work.hosts import HostLink
-from siskinroad.work.model import HostEntry, Setup
+from siskinroad.work.model import Configuration, HostEntry
 from siskinroad.work.store import Store
 
-__all__ = ["Decoder", "Outside"]
+__all__ = ["Decoder", "PlatformClients"]
 
 
 class Decoder(ABC):
@@ -18,24 +18,24 @@
 
     Attributes
     ----------
-    hosts_topic, setup_topic : str
+    hosts_topic, configuration_topic : str
         Topics of the live host list and of the configuration.
     """
 
     hosts_topic: str
-    setup_topic: str
+    configuration_topic: str
 
     @abstractmethod
-    def host(self, key: str, value: bytes) -> HostEntry | None:
+    def decode_host(self, key: str, value: bytes) -> HostEntry | None:
         """Return a host of the live list; None if the record names no usable host."""
 
     @abstractmethod
-    def setup(self, key: str, value: bytes) -> Setup | None:
+    def decode_configuration(self, key: str, value: bytes) -> Configuration | None:
         """Return the configuration; None if the record holds none."""
 
 
 @dataclass(slots=True, frozen=True)
-class Outside:
+class PlatformClients:
     """The clients of the platform's services."""
 
     store: Store
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -84,8 +84,8 @@
 def test_arbitrary_bytes_raise_only_protocol_error(data):
     # The callers of the decoders handle ProtocolError and no other exception.
     decoder = PlatformDecoder()
-    assert decoder.host("i", data) is None
-    assert decoder.setup("config", data) is None
+    assert decoder.decode_host("i", data) is None
+    assert decoder.decode_configuration("config", data) is None
     with pytest.raises(ProtocolError):
         decode_job(data)
     with pytest.raises(ProtocolError):
@@ -98,22 +98,26 @@
 )
 def test_invalid_host_entry_is_skipped(change):
     value = msgspec.json.encode(server_entry("10.0.0.1:80") | change)
-    assert PlatformDecoder().host("i-1", value) is None
+    assert PlatformDecoder().decode_host("i-1", value) is None
 
 
 def test_host_entry_is_decoded_and_unknown_fields_are_ignored():
     value = msgspec.json.encode(server_entry("10.0.0.1:80", "draining") | {"new": 1})
-    host = PlatformDecoder().host("i-1", value)
+    host = PlatformDecoder().decode_host("i-1", value)
     assert host.draining and host.rack == "r1-3" and host.capacity.cpu_milli == 16000
 
 
 def test_configuration_is_decoded():
-    setup = PlatformDecoder().setup("config", msgspec.json.encode(CONFIG))
-    queue = setup.find_queue("ficu95.example", "/pule252/5c0e7a21d94b36f8")
+    configuration = PlatformDecoder().decode_configuration(
+        "config", msgspec.json.encode(CONFIG)
+    )
+    queue = configuration.find_queue("ficu95.example", "/pule252/5c0e7a21d94b36f8")
     assert queue.pool == "wuno96b" and queue.target == 0.4
     assert queue.advice == Advice(0.01, 0.001, 2.0)
-    assert setup.find_queue("ficu95.example", "/other/") is None
-    assert setup.find_queue("other.example", "/pule252/5c0e7a21d94b36f8") is None
+    assert configuration.find_queue("ficu95.example", "/other/") is None
+    assert (
+        configuration.find_queue("other.example", "/pule252/5c0e7a21d94b36f8") is None
+    )
 
 
 def test_host_report_is_decoded():
--- a/tests/work/cell.py
+++ b/tests/work/cell.py
@@ -12,14 +12,14 @@
 from siskinroad.work.hosts_memory import MemoryAdvisor, MemoryHost, MemoryHosts
 from siskinroad.work.model import (
     Advice,
+    Configuration,
     HostEntry,
     JobSpec,
     Queue,
-    Setup,
     Step,
     Timing,
 )
-from siskinroad.work.outside import Decoder, Outside
+from siskinroad.work.platform_clients import Decoder, PlatformClients
 from siskinroad.work.records import Member
 from siskinroad.work.store import Record
 from siskinroad.work.store_memory import MemoryLogs, MemoryStore
@@ -32,7 +32,7 @@
 ADVISED = Queue(
     "advised", "h", "/advised/", POOL, 1, 3, 2.0, 1.2, 3.0, Advice(0.1, 0.01, 2.0)
 )
-SETUP = Setup(1, (FAST, SLOW, ADVISED), (POOL,), 1 << 18)
+CONFIGURATION = Configuration(1, (FAST, SLOW, ADVISED), (POOL,), 1 << 18)
 
 
 def entry(name, draining=False, capacity=HOST_CAPACITY, rack="r1"):
@@ -54,19 +54,19 @@
 
 class PlainDecoder(Decoder):
     hosts_topic = "keyed.list"
-    setup_topic = "keyed.setup"
+    configuration_topic = "keyed.setup"
 
-    def host(self, key, value):
+    def decode_host(self, key, value):
         if not value:
             return None
         fields = msgspec.json.decode(value)
         return entry(key, fields["draining"], Resources(*fields["room"]))
 
-    def setup(self, key, value):
-        return SETUP_BY_VERSION[int(value)]
+    def decode_configuration(self, key, value):
+        return CONFIGURATION_BY_VERSION[int(value)]
 
 
-SETUP_BY_VERSION = {1: SETUP}
+CONFIGURATION_BY_VERSION = {1: CONFIGURATION}
 
 
 def host_record(name, draining=False, capacity=HOST_CAPACITY):
@@ -102,12 +102,12 @@
         self.incarnations += 1
         self.network.dark.discard(name)
         peers = self.network.join(name, CODEC)
-        outside = Outside(
+        platform_clients = PlatformClients(
             MemoryStore(self.logs, name), self.hosts, self.advisor, PlainDecoder()
         )
         daemon = WorkDaemon(
             Member(name, self.incarnations, name, "dc1", "r1"),
-            outside,
+            platform_clients,
             peers,
             lambda member: None,
             Timing(status_kept_s=120.0),
--- a/tests/work/test_planner.py
+++ b/tests/work/test_planner.py
@@ -7,14 +7,14 @@
 from siskinroad.work.planner import Planner
 from siskinroad.work.pool_state import PoolState
 from siskinroad.work.records import Accepted
-from tests.work.cell import POOL, SETUP, entry, job, step
+from tests.work.cell import CONFIGURATION, POOL, entry, job, step
 
 
 def make(hosts, **entries):
     """Return the state of a pool whose hosts have replied and can be used."""
     pool_state = PoolState(POOL, 1)
     pool_state.settled = True
-    pool_state.configure(SETUP)
+    pool_state.configure(CONFIGURATION)
     for name in hosts:
         pool_state.add_or_update_host(entries.get(name, entry(name)))
         host = pool_state.hosts[name]
--- a/tests/work/test_pool_state.py
+++ b/tests/work/test_pool_state.py
@@ -8,7 +8,7 @@
 from siskinroad.work.planner import Planner
 from siskinroad.work.pool_state import PoolState
 from siskinroad.work.records import Accepted
-from tests.work.cell import POOL, SETUP, entry, job, step
+from tests.work.cell import CONFIGURATION, POOL, entry, job, step
 
 TASK = TaskId("j", 0, 0, 0)
 
@@ -20,7 +20,7 @@
 def make_pool_state(spec, hosts=("i-0",), term=1, queue="fast", settled=True):
     pool_state = PoolState(POOL, term)
     pool_state.settled = settled
-    pool_state.configure(SETUP)
+    pool_state.configure(CONFIGURATION)
     for name in hosts:
         pool_state.add_or_update_host(entry(name))
         pool_state.hosts[name].is_stored = True
