--- a/siskinroad/work/claim_manager.py
+++ b/siskinroad/work/claim_manager.py
@@ -181,8 +181,8 @@
         known = self._members.known.get(owner.node)
         if known is None or known.incarnation != owner.incarnation:
             return False
-        heard = self._members.heard.get(owner.node)
-        if heard is not None and heard.beat.leaving:
+        last_heartbeat = self._members.last_heartbeats.get(owner.node)
+        if last_heartbeat is not None and last_heartbeat.heartbeat.leaving:
             return False
         return await self._peers.probe(owner.node) is Reach.LISTENS
 
--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -16,11 +16,15 @@
 from siskinroad.work.follower import Follower
 from siskinroad.work.job_service import JobService
 from siskinroad.work.job_writer import JobWriter
-from siskinroad.work.members import BEAT_TIME, OWNER_BEAT_TIME, Members
+from siskinroad.work.members import (
+    HEARTBEAT_INTERVAL,
+    OWNER_HEARTBEAT_INTERVAL,
+    Members,
+)
 from siskinroad.work.messages import (
     AdviceReply,
     AdviceRequest,
-    Beat,
+    Heartbeat,
     Hello,
     JobReply,
     JobRequest,
@@ -100,7 +104,7 @@
         self.store = RelayStore(
             platform_clients.store,
             self.peer_calls,
-            lambda: self.members.reaches_store(now()),
+            lambda: self.members.members_reaching_store(now()),
         )
         self.store.on_recovered = self._on_store_recovered
         self.store_probe = StoreProbe(
@@ -113,7 +117,7 @@
             member.node,
             platform_clients.advisor,
             self.peer_calls,
-            lambda: self.members.alive(now()),
+            lambda: self.members.live_members(now()),
         )
         self.dependencies = OwnerDependencies(
             member.node,
@@ -141,7 +145,7 @@
             self.store,
             self.peer_calls,
             self._job_writer_of,
-            lambda node: self.members.answers(node, now()),
+            lambda node: self.members.is_alive(node, now()),
             lambda: self.store.last_answer_at,
             self.metrics,
         )
@@ -280,7 +284,7 @@
 
     def _register_member(self, member: Member) -> None:
         """Register a member found in the store or introduced by its own message."""
-        if member.node == self.member.node or not self.members.learn(member):
+        if member.node == self.member.node or not self.members.add_member(member):
             return
         self._register_address(member)
         log.info(
@@ -306,14 +310,16 @@
                     owner.revoke_confirmation()
             self._send_heartbeats()
             await asyncio.sleep(
-                OWNER_BEAT_TIME if self.claim_manager.pools else BEAT_TIME
+                OWNER_HEARTBEAT_INTERVAL
+                if self.claim_manager.pools
+                else HEARTBEAT_INTERVAL
             )
 
-    def _make_heartbeat(self) -> Beat:
+    def _make_heartbeat(self) -> Heartbeat:
         now = asyncio.get_running_loop().time()
         owned = tuple((pool, owner.term.number) for pool, owner in self.owners.items())
         age = round(now - self.store.direct_answer_at, 1)
-        return Beat(
+        return Heartbeat(
             self.member.node,
             self.member.incarnation,
             owned,
@@ -326,7 +332,7 @@
 
     def _send_heartbeats(self) -> None:
         heartbeat = self._make_heartbeat()
-        for node in self.members.others():
+        for node in self.members.other_members():
             self.peers.send(node, heartbeat)
 
     def _on_store_recovered(self) -> None:
@@ -404,7 +410,7 @@
             if self.claim_manager.leaving
             else now - self.store.direct_answer_at
         )
-        return self.members.gatherer(pool, now, age)
+        return self.members.job_writer(pool, now, age)
 
     def _capacities(self, pool: str) -> list[Resources]:
         return [e.capacity for e in self.hosts.values() if e.pool == pool]
@@ -414,8 +420,8 @@
     def _receive(self, peer: str, msg: Any) -> None:
         now = asyncio.get_running_loop().time()
         match msg:
-            case Beat():
-                self.members.hear(msg, now)
+            case Heartbeat():
+                self.members.record_heartbeat(msg, now)
                 self.advisor_channels.record_backlog(msg.node, msg.backlog, now)
                 if msg.leaving:
                     self.claim_manager.check_requested.set()
@@ -441,7 +447,7 @@
             case RelayRequest():
                 self._reply_when_done(peer, self.store.serve(msg))
 
-    def _check_for_later_terms(self, heartbeat: Beat) -> None:
+    def _check_for_later_terms(self, heartbeat: Heartbeat) -> None:
         """Make an owner recheck its claim if a peer reports a later term."""
         for pool, term in heartbeat.owned:
             owner = self.owners.get(pool)
@@ -454,25 +460,30 @@
         Without this check, urgent work of a killed owner waits until its
         heartbeats time out.
         """
-        if peer in self.members.heard:
+        if peer in self.members.last_heartbeats:
             self._run_in_background(self._check_peer(peer))
 
     async def _check_peer(self, peer: str) -> None:
-        heard = self.members.heard.get(peer)
+        last_heartbeat = self.members.last_heartbeats.get(peer)
         reach = await self.peers.probe(peer)
-        if reach is not Reach.REFUSES or self.members.heard.get(peer) != heard:
+        if (
+            reach is not Reach.REFUSES
+            or self.members.last_heartbeats.get(peer) != last_heartbeat
+        ):
             return
         now = asyncio.get_running_loop().time()
-        owned = heard.beat.owned if heard is not None else ()
+        owned = last_heartbeat.heartbeat.owned if last_heartbeat is not None else ()
         log.warning(
             "daemon: peer refuses connections; its process has ended",
             extra={
                 "peer": peer,
-                "silent_s": round(now - heard.at, 2) if heard else None,
+                "silent_s": round(now - last_heartbeat.at, 2)
+                if last_heartbeat
+                else None,
                 "pools": [pool for pool, _ in owned],
             },
         )
-        self.members.ended(peer, now)
+        self.members.note_ended(peer, now)
         self.claim_manager.check_requested.set()
 
     def _run_in_background(self, coro: Coroutine[Any, Any, None]) -> None:
--- a/siskinroad/work/members.py
+++ b/siskinroad/work/members.py
@@ -5,18 +5,24 @@
 import hashlib
 from dataclasses import dataclass, field
 
-from siskinroad.work.messages import Beat
+from siskinroad.work.messages import Heartbeat
 from siskinroad.work.records import Member
 
-__all__ = ["ALIVE_TIME", "BEAT_TIME", "OWNER_ALIVE_TIME", "OWNER_BEAT_TIME", "Members"]
+__all__ = [
+    "HEARTBEAT_INTERVAL",
+    "HEARTBEAT_TIMEOUT",
+    "OWNER_HEARTBEAT_INTERVAL",
+    "OWNER_HEARTBEAT_TIMEOUT",
+    "Members",
+]
 
 # Seconds between two heartbeats of a daemon, and seconds without one after which it is
 # considered dead. Both are shorter for owners: the leases of a dead owner's hosts must
 # be renewed by its successor before they expire, and new work waits for the successor.
-BEAT_TIME = 0.6
-ALIVE_TIME = 2.0
-OWNER_BEAT_TIME = 0.2
-OWNER_ALIVE_TIME = 0.75
+HEARTBEAT_INTERVAL = 0.6
+HEARTBEAT_TIMEOUT = 2.0
+OWNER_HEARTBEAT_INTERVAL = 0.2
+OWNER_HEARTBEAT_TIMEOUT = 0.75
 # Seconds without a reply from the store after which a daemon claims no pool and writes
 # no jobs of unowned pools, so that daemons which reach the store do.
 MAX_STORE_AGE = 2.5
@@ -26,7 +32,7 @@
 class _LastHeartbeat:
     """Newest heartbeat of a daemon and the loop time of its receipt."""
 
-    beat: Beat
+    heartbeat: Heartbeat
     at: float
 
 
@@ -47,10 +53,10 @@
     node: str
     incarnation: int
     known: dict[str, Member] = field(default_factory=dict)
-    heard: dict[str, _LastHeartbeat] = field(default_factory=dict)
+    last_heartbeats: dict[str, _LastHeartbeat] = field(default_factory=dict)
     released_at: dict[str, float] = field(default_factory=dict)
 
-    def learn(self, member: Member) -> bool:
+    def add_member(self, member: Member) -> bool:
         """Add a member listed in the store; return whether it is new."""
         previous = self.known.get(member.node)
         if previous is not None and previous.incarnation >= member.incarnation:
@@ -63,60 +69,65 @@
         for node in [n for n in self.known if n not in nodes]:
             del self.known[node]
 
-    def hear(self, beat: Beat, now: float) -> None:
+    def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
         """Apply a heartbeat, unless it is from an earlier incarnation."""
-        previous = self.heard.get(beat.node)
-        if previous is not None and beat.leaving:
-            kept = {pool for pool, _ in beat.owned}
-            for pool, _ in previous.beat.owned:
+        previous = self.last_heartbeats.get(heartbeat.node)
+        if previous is not None and heartbeat.leaving:
+            kept = {pool for pool, _ in heartbeat.owned}
+            for pool, _ in previous.heartbeat.owned:
                 if pool not in kept:
                     self.released_at[pool] = now
-        if previous is None or previous.beat.incarnation <= beat.incarnation:
-            self.heard[beat.node] = _LastHeartbeat(beat, now)
+        if previous is None or previous.heartbeat.incarnation <= heartbeat.incarnation:
+            self.last_heartbeats[heartbeat.node] = _LastHeartbeat(heartbeat, now)
 
-    def ended(self, node: str, now: float) -> None:
+    def note_ended(self, node: str, now: float) -> None:
         """Note that a daemon's process seems to have ended.
 
         Its pools may then be claimed at once. This does not prove that it no longer
         renews leases; its next heartbeat makes it a live daemon again.
         """
-        previous = self.heard.pop(node, None)
-        for pool, _ in previous.beat.owned if previous is not None else ():
+        previous = self.last_heartbeats.pop(node, None)
+        for pool, _ in previous.heartbeat.owned if previous is not None else ():
             self.released_at[pool] = now
 
-    def others(self) -> list[str]:
+    def other_members(self) -> list[str]:
         """Return the names of all other members listed in the store."""
         return [node for node in self.known if node != self.node]
 
-    def alive(self, now: float) -> list[str]:
+    def live_members(self, now: float) -> list[str]:
         """Return the other live daemons that are not leaving, sorted by name."""
         return sorted(
             node
-            for node, heard in self.heard.items()
-            if now - heard.at <= ALIVE_TIME
-            and not heard.beat.leaving
+            for node, last_heartbeat in self.last_heartbeats.items()
+            if now - last_heartbeat.at <= HEARTBEAT_TIMEOUT
+            and not last_heartbeat.heartbeat.leaving
             and node != self.node
         )
 
-    def answers(self, node: str, now: float) -> bool:
+    def is_alive(self, node: str, now: float) -> bool:
         """Return whether a daemon, leaving or not, sent a heartbeat recently."""
-        heard = self.heard.get(node)
-        return heard is not None and now - heard.at <= ALIVE_TIME
+        last_heartbeat = self.last_heartbeats.get(node)
+        return (
+            last_heartbeat is not None and now - last_heartbeat.at <= HEARTBEAT_TIMEOUT
+        )
 
     def has_later_incarnation(self, node: str, incarnation: int) -> bool:
         """Return whether a later incarnation of a daemon is known."""
         if node == self.node:
             return incarnation < self.incarnation
-        heard = self.heard.get(node)
-        return heard is not None and heard.beat.incarnation > incarnation
+        last_heartbeat = self.last_heartbeats.get(node)
+        return (
+            last_heartbeat is not None
+            and last_heartbeat.heartbeat.incarnation > incarnation
+        )
 
     def owner(self, pool: str, now: float) -> str | None:
         """Return the live daemon that owns a pool under the highest term."""
         best: tuple[int, str] | None = None
-        for node, heard in self.heard.items():
-            if now - heard.at > OWNER_ALIVE_TIME:
+        for node, last_heartbeat in self.last_heartbeats.items():
+            if now - last_heartbeat.at > OWNER_HEARTBEAT_TIMEOUT:
                 continue
-            for name, term in heard.beat.owned:
+            for name, term in last_heartbeat.heartbeat.owned:
                 if name == pool and (best is None or (term, node) > best):
                     best = (term, node)
         return best[1] if best else None
@@ -127,14 +138,14 @@
         A claim takes seconds while the store is slow; a second one would take
         the pool from the first claimant.
         """
-        for node in self.alive(now):
-            heard = self.heard[node]
-            is_fresh = now - heard.at <= OWNER_ALIVE_TIME
-            if is_fresh and pool in heard.beat.claiming:
+        for node in self.live_members(now):
+            last_heartbeat = self.last_heartbeats[node]
+            is_fresh = now - last_heartbeat.at <= OWNER_HEARTBEAT_TIMEOUT
+            if is_fresh and pool in last_heartbeat.heartbeat.claiming:
                 return node
         return None
 
-    def gatherer(self, pool: str, now: float, store_age: float) -> str:
+    def job_writer(self, pool: str, now: float, store_age: float) -> str:
         """Return the daemon that writes a pool's jobs to the store while it is unowned.
 
         This is the daemon that is claiming the pool. If there is none, it is the
@@ -143,21 +154,21 @@
         claimant = self.claimant(pool, now)
         if claimant is not None:
             return claimant
-        nodes = self.reaches_store(now)
+        nodes = self.members_reaching_store(now)
         if store_age <= MAX_STORE_AGE or not nodes:
             nodes.append(self.node)
         return min(nodes, key=lambda node: _rank(pool, node))
 
     def was_released(self, pool: str, now: float) -> bool:
         """Return whether the pool's owner has recently released it or ended."""
-        return now - self.released_at.get(pool, -1e9) <= ALIVE_TIME
+        return now - self.released_at.get(pool, -1e9) <= HEARTBEAT_TIMEOUT
 
-    def reaches_store(self, now: float) -> list[str]:
+    def members_reaching_store(self, now: float) -> list[str]:
         """Return the other live daemons that the store replied to recently."""
         return [
             node
-            for node in self.alive(now)
-            if self.heard[node].beat.store_age <= MAX_STORE_AGE
+            for node in self.live_members(now)
+            if self.last_heartbeats[node].heartbeat.store_age <= MAX_STORE_AGE
         ]
 
     def should_claim(self, pool: str, now: float, owned: int, store_age: float) -> bool:
@@ -169,12 +180,12 @@
         if store_age > MAX_STORE_AGE:
             return False
         own = (owned, _rank(pool, self.node))
-        for node in self.reaches_store(now):
-            beat = self.heard[node].beat
+        for node in self.members_reaching_store(now):
+            heartbeat = self.last_heartbeats[node].heartbeat
             # A daemon that has just started defers to others, but others not to it.
-            if not beat.can_claim:
+            if not heartbeat.can_claim:
                 continue
-            if (len(beat.owned), _rank(pool, node)) < own:
+            if (len(heartbeat.owned), _rank(pool, node)) < own:
                 return False
         return True
 
--- a/siskinroad/work/messages.py
+++ b/siskinroad/work/messages.py
@@ -12,7 +12,7 @@
     "CODEC",
     "AdviceReply",
     "AdviceRequest",
-    "Beat",
+    "Heartbeat",
     "Hello",
     "JobReply",
     "JobRequest",
@@ -27,7 +27,7 @@
 ]
 
 
-class Beat(msgspec.Struct, tag="beat", frozen=True, array_like=True):
+class Heartbeat(msgspec.Struct, tag="beat", frozen=True, array_like=True):
     """Heartbeat that every daemon sends to every other one.
 
     Attributes
@@ -175,7 +175,7 @@
 
 
 Message = (
-    Beat
+    Heartbeat
     | Hello
     | JobRequest
     | JobReply
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -118,7 +118,7 @@
     run_scenario(scenario)
 
 
-def test_restarted_daemon_does_not_claim_pool_of_owner_not_yet_heard():
+def test_restarted_daemon_does_not_claim_pool_before_heartbeats_of_its_owner_arrive():
     # After a restart on a busy host, the owner's heartbeats arrive late; the daemon
     # must not take that for a dead owner.
     async def scenario(cell):
--- a/tests/work/test_members.py
+++ b/tests/work/test_members.py
@@ -1,20 +1,20 @@
 import msgspec
 
 from siskinroad.work.members import Members
-from siskinroad.work.messages import Beat
+from siskinroad.work.messages import Heartbeat
 from siskinroad.work.records import Member
 
 
 def heartbeat(
     node, owned=(), incarnation=1, store_age=0.1, leaving=False, can_claim=True
 ):
-    return Beat(node, incarnation, tuple(owned), store_age, leaving, can_claim)
+    return Heartbeat(node, incarnation, tuple(owned), store_age, leaving, can_claim)
 
 
 def make_members(*heartbeats, node="a", now=10.0):
     members = Members(node, 1)
     for received in heartbeats:
-        members.hear(received, now)
+        members.record_heartbeat(received, now)
     return members
 
 
@@ -68,20 +68,20 @@
 
 def test_a_later_incarnation_ends_the_ownership_of_an_earlier_one():
     members = make_members(heartbeat("b", [("p", 4)]))
-    members.hear(heartbeat("b", incarnation=2), 10.1)
+    members.record_heartbeat(heartbeat("b", incarnation=2), 10.1)
     assert members.owner("p", 10.1) is None
     assert members.has_later_incarnation("b", 1)
-    members.hear(heartbeat("b", [("p", 4)]), 10.2)
+    members.record_heartbeat(heartbeat("b", [("p", 4)]), 10.2)
     assert members.owner("p", 10.2) is None
 
 
 def test_a_pool_released_by_a_leaving_owner_is_known():
     members = make_members(heartbeat("b", [("p", 4)]))
-    members.hear(heartbeat("b", [("p", 4)], leaving=True), 10.1)
+    members.record_heartbeat(heartbeat("b", [("p", 4)], leaving=True), 10.1)
     assert not members.was_released("p", 10.1)
-    members.hear(heartbeat("b", leaving=True), 10.2)
+    members.record_heartbeat(heartbeat("b", leaving=True), 10.2)
     assert members.was_released("p", 10.2)
-    assert members.alive(10.2) == []
+    assert members.live_members(10.2) == []
 
 
 def test_a_slow_claim_of_another_daemon_is_not_disturbed():
@@ -94,25 +94,25 @@
 
 def test_only_newer_incarnations_of_members_are_added():
     members = Members("a", 1)
-    assert members.learn(Member("b", 2, "x", "d", "r"))
-    assert not members.learn(Member("b", 1, "y", "d", "r"))
+    assert members.add_member(Member("b", 2, "x", "d", "r"))
+    assert not members.add_member(Member("b", 1, "y", "d", "r"))
     members.forget_all_but(set())
-    assert members.others() == []
+    assert members.other_members() == []
 
 
 def test_the_pools_of_an_ended_daemon_may_be_claimed_at_once():
     members = make_members(heartbeat("b", [("p", 4)]), heartbeat("c"))
-    members.ended("b", 10.1)
+    members.note_ended("b", 10.1)
     assert members.owner("p", 10.1) is None
     assert members.was_released("p", 10.1)
-    assert members.alive(10.1) == ["c"]
+    assert members.live_members(10.1) == ["c"]
     assert not members.has_later_incarnation("b", 1)
 
 
 def test_a_heartbeat_after_a_suspected_end_makes_the_daemon_live_again():
     members = make_members(heartbeat("b", [("p", 4)]))
-    members.ended("b", 10.1)
-    members.hear(heartbeat("b", [("p", 4)]), 10.2)
+    members.note_ended("b", 10.1)
+    members.record_heartbeat(heartbeat("b", [("p", 4)]), 10.2)
     assert members.owner("p", 10.2) == "b"
 
 
@@ -123,7 +123,7 @@
     found = set()
     for node in "abc":
         members = make_members(*[b for b in heartbeats if b.node != node], node=node)
-        found.add(members.gatherer("p", 10.5, 0.1))
+        found.add(members.job_writer("p", 10.5, 0.1))
     assert len(found) == 1
 
 
@@ -131,18 +131,18 @@
     claiming = msgspec.structs.replace(heartbeat("c"), claiming=("p",))
     for node in "ab":
         members = make_members(heartbeat("b"), claiming, node=node)
-        assert members.gatherer("p", 10.5, 0.1) == "c"
+        assert members.job_writer("p", 10.5, 0.1) == "c"
 
 
 def test_a_daemon_that_cannot_reach_the_store_chooses_a_job_writer_that_can():
     members = make_members(heartbeat("b"), heartbeat("c", store_age=9.0))
-    assert members.gatherer("p", 10.5, 9.0) == "b"
-    assert make_members(heartbeat("c", store_age=9.0)).gatherer("p", 10.5, 9.0) == "a"
+    assert members.job_writer("p", 10.5, 9.0) == "b"
+    assert make_members(heartbeat("c", store_age=9.0)).job_writer("p", 10.5, 9.0) == "a"
 
 
 def test_a_leaving_owner_receives_requests_for_as_long_as_it_owns_the_pool():
     # Submissions during a rolling stop must not bypass the owner and go to the store.
     members = make_members(heartbeat("b", [("p", 4)], leaving=True), heartbeat("c"))
-    assert members.alive(10.1) == ["c"]
-    assert members.answers("b", 10.1) and members.owner("p", 10.1) == "b"
-    assert not members.answers("b", 12.5) and not members.answers("x", 10.1)
+    assert members.live_members(10.1) == ["c"]
+    assert members.is_alive("b", 10.1) and members.owner("p", 10.1) == "b"
+    assert not members.is_alive("b", 12.5) and not members.is_alive("x", 10.1)
