--- a/siskinroad/work/advice_requester.py
+++ b/siskinroad/work/advice_requester.py
@@ -18,7 +18,7 @@
 from siskinroad.work.host import Host
 from siskinroad.work.job import StepRun
 from siskinroad.work.model import Advice, Queue
-from siskinroad.work.plan import Plan, Trial, can_hold
+from siskinroad.work.planning_pass import PlanningPass, TentativePlacement, host_can_fit
 from siskinroad.work.pool_state import PoolState
 
 __all__ = ["AdviceRequester"]
@@ -53,17 +53,21 @@
     def __init__(self, pool_state: PoolState) -> None:
         self.pool_state = pool_state
 
-    def is_advised(self, plan: Plan, step: StepRun, advice: Advice) -> bool:
+    def is_advised(
+        self, planning_pass: PlanningPass, step: StepRun, advice: Advice
+    ) -> bool:
         """Return whether the allowed hosts are known; request advice if not."""
         if step.is_advice_pending:
             return bool(step.tickets)
-        unknown = [h for h in plan.hosts if h.name not in step.asked_hosts]
-        eligible = [h.name for h in unknown if can_hold(h, step)]
+        unknown = [h for h in planning_pass.hosts if h.name not in step.asked_hosts]
+        eligible = [h.name for h in unknown if host_can_fit(h, step)]
         if not eligible:
             return bool(step.tickets)
-        if step.asked_hosts and any(h.name in step.tickets for h in plan.hosts):
+        if step.asked_hosts and any(
+            h.name in step.tickets for h in planning_pass.hosts
+        ):
             return True
-        self._request_advice(plan, step, advice, eligible[:MAX_HOSTS_PER_CALL])
+        self._request_advice(planning_pass, step, advice, eligible[:MAX_HOSTS_PER_CALL])
         return False
 
     def hosts_with_stale_tickets(
@@ -74,64 +78,73 @@
 
     def reserve_and_renew(
         self,
-        plan: Plan,
+        planning_pass: PlanningPass,
         step: StepRun,
-        placement: Trial,
+        placement: TentativePlacement,
         advice: Advice,
         hosts: list[Host],
     ) -> None:
         """Reserve the chosen capacity and request new tickets for ``hosts``."""
         names = self._add_spare_hosts(step, hosts)
-        until = plan.now + advice.duration(len(names)) + RESERVATION_MARGIN
+        until = planning_pass.now + advice.duration(len(names)) + RESERVATION_MARGIN
         for host in hosts:
             capacity = step.spec.need.times(placement.counts[host.name])
             host.reserved[step.key] = (capacity, until)
         if not step.is_advice_pending:
-            self._request_advice(plan, step, advice, names)
+            self._request_advice(planning_pass, step, advice, names)
 
-    def renew_early(self, plan: Plan, step: StepRun, advice: Advice) -> None:
+    def renew_early(
+        self, planning_pass: PlanningPass, step: StepRun, advice: Advice
+    ) -> None:
         """Request new tickets so that they arrive when the capacity becomes free."""
-        if step.is_advice_pending or plan.renewed_steps >= MAX_EARLY_RENEWALS:
+        if step.is_advice_pending or planning_pass.renewed_steps >= MAX_EARLY_RENEWALS:
             return
-        hosts, at = self._next_capacity(plan, step)
+        hosts, at = self._next_capacity(planning_pass, step)
         stale = self.hosts_with_stale_tickets(step, hosts, at)
         if not stale:
             return
         names = self._add_spare_hosts(step, stale)
-        if at - plan.now <= advice.duration(len(names)) + EARLY_REQUEST_MARGIN:
-            plan.renewed_steps += 1
-            self._request_advice(plan, step, advice, names)
+        if at - planning_pass.now <= advice.duration(len(names)) + EARLY_REQUEST_MARGIN:
+            planning_pass.renewed_steps += 1
+            self._request_advice(planning_pass, step, advice, names)
 
-    def _next_capacity(self, plan: Plan, step: StepRun) -> tuple[list[Host], float]:
+    def _next_capacity(
+        self, planning_pass: PlanningPass, step: StepRun
+    ) -> tuple[list[Host], float]:
         """Return the hosts that will have capacity for a step, and when all have it.
 
         The list is empty if no such time can be predicted.
         """
         openings: list[tuple[float, Host]] = []
-        for host in plan.hosts:
+        for host in planning_pass.hosts:
             if host.name in step.tickets:
                 openings += [
-                    (at, host) for at in self._capacity_times(plan, step, host)
+                    (at, host) for at in self._capacity_times(planning_pass, step, host)
                 ]
         openings.sort(key=lambda opening: opening[0])
         count = len(step.waiting()) if step.spec.gang else 1
         chosen = openings[:count]
         if len(chosen) < count:
-            return [], plan.now
+            return [], planning_pass.now
         return list({h.name: h for _, h in chosen}.values()), chosen[-1][0]
 
-    def _capacity_times(self, plan: Plan, step: StepRun, host: Host) -> list[float]:
+    def _capacity_times(
+        self, planning_pass: PlanningPass, step: StepRun, host: Host
+    ) -> list[float]:
         """Return when a host has capacity for one, two and more tasks of a step."""
         need = step.spec.need
-        capacity = host.free_capacity(step.key, plan.now)
-        speeds = self.pool_state.speeds
+        capacity = host.free_capacity(step.key, planning_pass.now)
+        speed_estimates = self.pool_state.speed_estimates
         ends = [
-            (plan.now + speeds.remaining(run, plan.now), run.need)
+            (
+                planning_pass.now + speed_estimates.remaining_s(run, planning_pass.now),
+                run.need,
+            )
             for run in host.runs.values()
         ]
         ends.sort(key=lambda end: end[0])
         times: list[float] = []
-        at = plan.now
+        at = planning_pass.now
         for end, freed in [*ends, (float("inf"), need)]:
             while need.fits(capacity):
                 capacity = capacity - need
@@ -140,7 +153,7 @@
             at = end
         return times
 
-    def request_for_next_steps(self, plan: Plan) -> None:
+    def request_for_next_steps(self, planning_pass: PlanningPass) -> None:
         """Request advice for steps that become ready when the running ones end."""
         for step in list(self.pool_state.ready.values()):
             queue = self.pool_state.queues.get(step.job.queue)
@@ -148,24 +161,24 @@
                 continue
             for after in step.job.steps.values():
                 if step.number in after.spec.after:
-                    self._request_ahead(plan, after, queue, queue.advice)
+                    self._request_ahead(planning_pass, after, queue, queue.advice)
 
     def _request_ahead(
-        self, plan: Plan, step: StepRun, queue: Queue, advice: Advice
+        self, planning_pass: PlanningPass, step: StepRun, queue: Queue, advice: Advice
     ) -> None:
         """Request advice for a step if all steps that it waits for are about to end."""
         if step.is_advice_pending or step.asked_hosts:
             return
         predecessors = [step.job.steps[step.occurrence, i] for i in step.spec.after]
-        eligible = [h.name for h in plan.hosts if can_hold(h, step)][
+        eligible = [h.name for h in planning_pass.hosts if host_can_fit(h, step)][
             :MAX_HOSTS_PER_CALL
         ]
         duration = advice.duration(len(eligible)) + EARLY_REQUEST_MARGIN
         remaining_time = max(
-            self._remaining_time(each, plan.now) for each in predecessors
+            self._remaining_time(each, planning_pass.now) for each in predecessors
         )
         if eligible and remaining_time <= duration:
-            self._request_advice(plan, step, advice, eligible)
+            self._request_advice(planning_pass, step, advice, eligible)
 
     def _remaining_time(self, step: StepRun, now: float) -> float:
         """Return the estimated seconds until a step ends; infinity if unknown."""
@@ -180,7 +193,7 @@
             if run is None or run.state != "running":
                 return float("inf")
             remaining_time = max(
-                remaining_time, self.pool_state.speeds.remaining(run, now)
+                remaining_time, self.pool_state.speed_estimates.remaining_s(run, now)
             )
         return remaining_time
 
@@ -193,12 +206,18 @@
         return [*sorted(names), *spare[:SPARE_HOSTS]]
 
     def _request_advice(
-        self, plan: Plan, step: StepRun, advice: Advice, names: Iterable[str]
+        self,
+        planning_pass: PlanningPass,
+        step: StepRun,
+        advice: Advice,
+        names: Iterable[str],
     ) -> None:
         """Request advice, unless the channels are busy; then a later plan does."""
         hosts = tuple(names)
         duration = advice.duration(len(hosts))
-        if plan.channels is not None and not plan.channels.assign(duration):
+        if planning_pass.channels is not None and not planning_pass.channels.assign(
+            duration
+        ):
             return
         step.is_advice_pending = True
-        plan.effects.append(RequestAdvice(step.key, hosts, duration))
+        planning_pass.effects.append(RequestAdvice(step.key, hosts, duration))
--- a/siskinroad/work/headroom.py
+++ b/siskinroad/work/headroom.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["UrgentRoom"]
+__all__ = ["UrgentHeadroom"]
 
 # Seconds in which a peak of urgent demand decays by half.
 PEAK_HALF_LIFE_S = 10.0
@@ -20,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class UrgentRoom:
+class UrgentHeadroom:
     """Decaying peak of the processors that urgent tasks hold and wait for.
 
     Attributes
--- a/siskinroad/work/job_table.py
+++ b/siskinroad/work/job_table.py
@@ -12,7 +12,7 @@
 from siskinroad.work.job import Job, JobState, StepRun, Task, make_job
 from siskinroad.work.model import Configuration, Queue, TaskId
 from siskinroad.work.records import Accepted, Progress
-from siskinroad.work.speed import Speeds
+from siskinroad.work.speed_estimates import SpeedEstimates
 
 __all__ = ["JobTable"]
 
@@ -56,7 +56,7 @@
         self.timed: set[str] = set()
         self.dirty: set[str] = set()
         self.health = Health()
-        self.speeds = Speeds()
+        self.speed_estimates = SpeedEstimates()
         self.settled = False
 
     def configure(self, configuration: Configuration) -> None:
@@ -136,7 +136,7 @@
         queue = self.queues.get(job.queue)
         if queue is None:
             return 0.0
-        chain = max(job.tails) * self.speeds.factor(job.queue)
+        chain = max(job.tails) * self.speed_estimates.run_time_ratio(job.queue)
         if queue.advice is not None:
             chain += job.chain_length * queue.advice.duration(HOSTS_PER_ADVICE_REQUEST)
         return queue.slack * chain + queue.target
--- a/siskinroad/work/planner.py
+++ b/siskinroad/work/planner.py
@@ -14,16 +14,16 @@
 from siskinroad.work.advice_requester import AdviceRequester
 from siskinroad.work.advisor_channels import ChannelTimes
 from siskinroad.work.effects import Effect, StartRun
-from siskinroad.work.headroom import UrgentRoom
+from siskinroad.work.headroom import UrgentHeadroom
 from siskinroad.work.host import Host, Run
 from siskinroad.work.job import StepRun, Task
 from siskinroad.work.model import Queue
-from siskinroad.work.plan import (
-    Plan,
-    Trial,
-    can_hold,
+from siskinroad.work.planning_pass import (
+    PlanningPass,
+    TentativePlacement,
     compute_available_after_stops,
     compute_shortfall,
+    host_can_fit,
     is_large,
     step_allows_host,
     task_avoids_host,
@@ -63,7 +63,7 @@
 
     def __init__(self, pool_state: PoolState) -> None:
         self.pool_state = pool_state
-        self.urgent_headroom = UrgentRoom()
+        self.urgent_headroom = UrgentHeadroom()
         self.advice_requester = AdviceRequester(pool_state)
 
     def plan(
@@ -81,13 +81,17 @@
         ]
         steps = [s for s in self.pool_state.ready.values() if not s.job.closed]
         demand = _compute_demand(steps, hosts)
-        plan = Plan(self.pool_state, now, wall, hosts, demand, channels=channels)
-        plan.non_urgent_cpu_milli = self._compute_non_urgent_cpu(steps, hosts, now)
+        planning_pass = PlanningPass(
+            self.pool_state, now, wall, hosts, demand, channels=channels
+        )
+        planning_pass.non_urgent_cpu_milli = self._compute_non_urgent_cpu(
+            steps, hosts, now
+        )
         steps.sort(key=lambda s: self._rank_step(s, wall))
         for step in steps:
-            self._plan_step(plan, step)
-        self.advice_requester.request_for_next_steps(plan)
-        return plan.effects
+            self._plan_step(planning_pass, step)
+        self.advice_requester.request_for_next_steps(planning_pass)
+        return planning_pass.effects
 
     def _is_urgent(self, queue_name: str) -> bool:
         queue = self.pool_state.queues.get(queue_name)
@@ -126,7 +130,9 @@
         """
         job = step.job
         queue = self.pool_state.queues.get(job.queue)
-        remaining_s = job.tails[step.number] * self.pool_state.speeds.factor(job.queue)
+        remaining_s = job.tails[
+            step.number
+        ] * self.pool_state.speed_estimates.run_time_ratio(job.queue)
         earliest_end = wall + EARLIEST_END_FRACTION * remaining_s
         target_time = self.pool_state.target_time(job, step.occurrence)
         lateness = 0
@@ -137,7 +143,7 @@
             lateness = 1 if earliest_end < worthless_at else 2
         return (queue.priority if queue else 9, lateness, target_time)
 
-    def _plan_step(self, plan: Plan, step: StepRun) -> None:
+    def _plan_step(self, planning_pass: PlanningPass, step: StepRun) -> None:
         waiting = step.waiting()
         queue = self.pool_state.queues.get(step.job.queue)
         if not waiting or queue is None:
@@ -146,42 +152,50 @@
             return
         advice = queue.advice
         if advice is not None and not self.advice_requester.is_advised(
-            plan, step, advice
+            planning_pass, step, advice
         ):
             return
-        placement = self._try_placement(plan, step, waiting, queue)
+        placement = self._try_placement(planning_pass, step, waiting, queue)
         if placement is None:
-            self._free_hosts(plan, step, queue)
+            self._exclude_hosts(planning_pass, step, queue)
             if advice is not None:
-                self.advice_requester.renew_early(plan, step, advice)
+                self.advice_requester.renew_early(planning_pass, step, advice)
             return
-        self._start_tasks(plan, step, placement, queue)
+        self._start_tasks(planning_pass, step, placement, queue)
 
     # Placement
 
     def _try_placement(
-        self, plan: Plan, step: StepRun, waiting: list[Task], queue: Queue
-    ) -> Trial | None:
+        self,
+        planning_pass: PlanningPass,
+        step: StepRun,
+        waiting: list[Task],
+        queue: Queue,
+    ) -> TentativePlacement | None:
         """Choose a host for each task, or for as many as fit.
 
         Returns
         -------
-        Trial or None
+        TentativePlacement or None
             None if no task fits, or not the whole gang.
         """
-        hosts = plan.hosts
+        hosts = planning_pass.hosts
         if queue.advice is not None:
             hosts = [h for h in hosts if h.name in step.tickets]
-        hosts = [h for h in hosts if h.name not in plan.excluded_hosts]
-        placement = Trial()
+        hosts = [h for h in hosts if h.name not in planning_pass.excluded_hosts]
+        placement = TentativePlacement()
         bounded = queue.priority > 0 and not step.spec.long_running
-        non_urgent_cpu_milli = plan.non_urgent_cpu_milli if bounded else float("inf")
-        available_by_host = {h.name: h.free_capacity(step.key, plan.now) for h in hosts}
+        non_urgent_cpu_milli = (
+            planning_pass.non_urgent_cpu_milli if bounded else float("inf")
+        )
+        available_by_host = {
+            h.name: h.free_capacity(step.key, planning_pass.now) for h in hosts
+        }
         for task in waiting:
             if step.spec.need.cpu_milli > non_urgent_cpu_milli:
                 return None if step.spec.gang or not placement.chosen else placement
             host = self._choose_host(
-                plan, step, task, hosts, available_by_host, placement
+                planning_pass, step, task, hosts, available_by_host, placement
             )
             if host is None:
                 if step.spec.gang:
@@ -195,12 +209,12 @@
 
     def _choose_host(
         self,
-        plan: Plan,
+        planning_pass: PlanningPass,
         step: StepRun,
         task: Task,
         hosts: list[Host],
         available_by_host: dict[str, Resources],
-        placement: Trial,
+        placement: TentativePlacement,
     ) -> Host | None:
         """Return the cheapest host that fits one more task; None if none does."""
         need = step.spec.need
@@ -208,55 +222,67 @@
         best_cost: tuple[float, ...] = ()
         for host in hosts:
             available = available_by_host[host.name]
-            if not need.fits(available) or task_avoids_host(task, host, plan.now):
+            if not need.fits(available) or task_avoids_host(
+                task, host, planning_pass.now
+            ):
                 continue
             if not step_allows_host(step, host, placement):
                 continue
             has_failed_here = host.name in task.avoid
             cost = (
                 has_failed_here,
-                *_compute_cost(plan, step, host, available, placement),
+                *_compute_cost(planning_pass, step, host, available, placement),
             )
             if best is None or cost < best_cost:
                 best, best_cost = host, cost
         return best
 
-    def _free_hosts(self, plan: Plan, step: StepRun, queue: Queue) -> None:
+    def _exclude_hosts(
+        self, planning_pass: PlanningPass, step: StepRun, queue: Queue
+    ) -> None:
         """Exclude later steps from the hosts that will fit a blocked large step first.
 
         Only one step per plan does so, the most urgent that can still meet its
         target time: hosts kept for several steps at once would mostly be idle.
         """
-        large = step.spec.gang or is_large(plan, step)
-        if plan.excluded_hosts or not large or self._rank_step(step, plan.wall)[1]:
+        large = step.spec.gang or is_large(planning_pass, step)
+        if (
+            planning_pass.excluded_hosts
+            or not large
+            or self._rank_step(step, planning_pass.wall)[1]
+        ):
             return
-        capable_hosts = [h for h in plan.hosts if can_hold(h, step)]
+        capable_hosts = [h for h in planning_pass.hosts if host_can_fit(h, step)]
         if queue.advice is not None:
             capable_hosts = [h for h in capable_hosts if h.name in step.tickets]
         capable_hosts.sort(
             key=lambda h: compute_shortfall(
-                compute_available_after_stops(h, step, plan.now), step
+                compute_available_after_stops(h, step, planning_pass.now), step
             )
         )
         count = len(step.waiting())
-        max_hosts = max(1, int(len(plan.hosts) * MAX_EXCLUDED_FRACTION))
+        max_hosts = max(1, int(len(planning_pass.hosts) * MAX_EXCLUDED_FRACTION))
         if step.spec.gang and count > max_hosts:
             return
         for host in capable_hosts[: min(count, max_hosts)]:
-            plan.excluded_hosts.add(host.name)
-            self._preempt_runs(plan, step, host, queue)
+            planning_pass.excluded_hosts.add(host.name)
+            self._preempt_runs(planning_pass, step, host, queue)
 
     def _preempt_runs(
-        self, plan: Plan, step: StepRun, host: Host, queue: Queue
+        self, planning_pass: PlanningPass, step: StepRun, host: Host, queue: Queue
     ) -> None:
         """Stop less urgent runs on a host that can resume from a checkpoint elsewhere.
 
         Stops only as many as the step needs to fit, and only runs that would hold
         their resources for clearly longer than a stop takes.
         """
-        available = compute_available_after_stops(host, step, plan.now)
+        available = compute_available_after_stops(host, step, planning_pass.now)
         chosen: list[Run] = []
-        runs = [r for r in host.runs.values() if self._is_preemptible(plan, r, queue)]
+        runs = [
+            r
+            for r in host.runs.values()
+            if self._is_preemptible(planning_pass, r, queue)
+        ]
         for run in sorted(runs, key=lambda r: r.begun_at, reverse=True):
             if step.spec.need.fits(available):
                 break
@@ -265,9 +291,11 @@
         if not step.spec.need.fits(available):
             return
         for run in chosen:
-            plan.effects += self.pool_state.stop(host, run, "preempted")
+            planning_pass.effects += self.pool_state.stop(host, run, "preempted")
 
-    def _is_preemptible(self, plan: Plan, run: Run, queue: Queue) -> bool:
+    def _is_preemptible(
+        self, planning_pass: PlanningPass, run: Run, queue: Queue
+    ) -> bool:
         other = self.pool_state.queues.get(run.queue)
         step = self.pool_state.step(run.key[0])
         if other is None or step is None or other.priority <= queue.priority:
@@ -286,44 +314,57 @@
     # Start commands
 
     def _start_tasks(
-        self, plan: Plan, step: StepRun, placement: Trial, queue: Queue
+        self,
+        planning_pass: PlanningPass,
+        step: StepRun,
+        placement: TentativePlacement,
+        queue: Queue,
     ) -> None:
         stale: list[Host] = []
         if queue.advice is not None:
             hosts = [host for _, host in placement.chosen]
             stale = self.advice_requester.hosts_with_stale_tickets(
-                step, hosts, plan.now
+                step, hosts, planning_pass.now
             )
             if stale and step.spec.gang:
                 self.advice_requester.reserve_and_renew(
-                    plan, step, placement, queue.advice, hosts
+                    planning_pass, step, placement, queue.advice, hosts
                 )
                 return
             if stale:
                 self.advice_requester.reserve_and_renew(
-                    plan, step, placement, queue.advice, stale
+                    planning_pass, step, placement, queue.advice, stale
                 )
         stale_names = {host.name for host in stale}
         chosen = [(t, h) for t, h in placement.chosen if h.name not in stale_names]
         # The runs of a gang share one number; 0 for single tasks.
         run_number = max(task.run for task in step.tasks) + 1 if step.spec.gang else 0
         for task, host in chosen:
-            self._start_task(plan, step, task, host, run_number or task.run + 1)
+            self._start_task(
+                planning_pass, step, task, host, run_number or task.run + 1
+            )
 
     def _start_task(
-        self, plan: Plan, step: StepRun, task: Task, host: Host, run_number: int
+        self,
+        planning_pass: PlanningPass,
+        step: StepRun,
+        task: Task,
+        host: Host,
+        run_number: int,
     ) -> None:
-        run = step.make_run(task, run_number, host.token, plan.now)
+        run = step.make_run(task, run_number, host.token, planning_pass.now)
         task.run = run_number
         task.host = host.name
         task.move("order")
         host.reserved.pop(step.key, None)
-        plan.non_urgent_cpu_milli -= step.spec.need.cpu_milli
+        planning_pass.non_urgent_cpu_milli -= step.spec.need.cpu_milli
         host.add(run)
         step.by_host[host.name] = step.by_host.get(host.name, 0) + 1
         ticket = step.tickets.get(host.name, ("", 0.0))[0]
         payload = step.job.spec.payload
-        plan.effects.append(StartRun(host.name, run, payload, task.checkpoint, ticket))
+        planning_pass.effects.append(
+            StartRun(host.name, run, payload, task.checkpoint, ticket)
+        )
 
 
 def _compute_demand(steps: list[StepRun], hosts: list[Host]) -> dict[str, float]:
@@ -344,18 +385,24 @@
     return demand
 
 
-def _compute_other_demand(plan: Plan, step: StepRun, host: Host) -> int:
+def _compute_other_demand(
+    planning_pass: PlanningPass, step: StepRun, host: Host
+) -> int:
     """Return the demand of other steps for a host, in whole ``DEMAND_QUANTUM``."""
-    names = [name for name in step.tickets if name in plan.demand]
+    names = [name for name in step.tickets if name in planning_pass.demand]
     own = 0.0
     if host.name in names:
         share = step.spec.need.dominant(host.entry.capacity)
         own = len(step.waiting()) / len(names) * share
-    return int((plan.demand.get(host.name, 0.0) - own) / DEMAND_QUANTUM)
+    return int((planning_pass.demand.get(host.name, 0.0) - own) / DEMAND_QUANTUM)
 
 
 def _compute_cost(
-    plan: Plan, step: StepRun, host: Host, available: Resources, placement: Trial
+    planning_pass: PlanningPass,
+    step: StepRun,
+    host: Host,
+    available: Resources,
+    placement: TentativePlacement,
 ) -> tuple[float, ...]:
     """Return the cost of placing a task on a host, as a tuple; the lowest wins.
 
@@ -380,7 +427,7 @@
         return (rack_penalty, best_effort_runs, same_step_runs, -available.cpu_milli)
     # Hosts that other steps need more are left to them. The tightest gap is filled
     # first, so that whole hosts stay free for large tasks.
-    other_demand = _compute_other_demand(plan, step, host)
+    other_demand = _compute_other_demand(planning_pass, step, host)
     cpu_left = available.cpu_milli - spec.need.cpu_milli
     return (
         rack_penalty,
--- a/siskinroad/work/plan.py
+++ b/siskinroad/work/planning_pass.py
@@ -12,11 +12,11 @@
 from siskinroad.work.pool_state import PoolState
 
 __all__ = [
-    "Plan",
-    "Trial",
-    "can_hold",
+    "PlanningPass",
+    "TentativePlacement",
     "compute_available_after_stops",
     "compute_shortfall",
+    "host_can_fit",
     "is_large",
     "step_allows_host",
     "task_avoids_host",
@@ -25,12 +25,12 @@
 # Seconds for which a task is not placed again on a host where it failed.
 AVOID_FAILED_HOST_S = 1.5
 # Fraction of a host from which a task counts as large: gaps of that size are filled by
-# small tasks first, so that a large one may never find room.
+# small tasks first, so that a large one may never fit.
 LARGE_TASK_FRACTION = 0.5
 
 
 @dataclass(slots=True)
-class Plan:
+class PlanningPass:
     """Working state of one planning pass.
 
     Attributes
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True)
-class Trial:
+class TentativePlacement:
     """Tentative placement: hosts chosen for tasks of a step, before any is started.
 
     Attributes
@@ -88,7 +88,7 @@
     return failed_at is not None and now - failed_at < AVOID_FAILED_HOST_S
 
 
-def can_hold(host: Host, step: StepRun) -> bool:
+def host_can_fit(host: Host, step: StepRun) -> bool:
     """Return whether the host, if it were empty, could hold a task of the step."""
     spec = step.spec
     if spec.label and spec.label not in host.entry.labels:
@@ -96,7 +96,7 @@
     return spec.need.fits(host.entry.capacity)
 
 
-def step_allows_host(step: StepRun, host: Host, placement: Trial) -> bool:
+def step_allows_host(step: StepRun, host: Host, placement: TentativePlacement) -> bool:
     """Return whether label and spread let the step place one more task on the host."""
     spec = step.spec
     if spec.label and spec.label not in host.entry.labels:
@@ -107,9 +107,11 @@
     return count < spec.spread
 
 
-def is_large(plan: Plan, step: StepRun) -> bool:
+def is_large(planning_pass: PlanningPass, step: StepRun) -> bool:
     """Return whether a task of the step needs a large fraction of some host."""
-    capacities = [host.entry.capacity for host in plan.hosts if can_hold(host, step)]
+    capacities = [
+        host.entry.capacity for host in planning_pass.hosts if host_can_fit(host, step)
+    ]
     return any(
         step.spec.need.dominant(total) >= LARGE_TASK_FRACTION for total in capacities
     )
--- a/siskinroad/work/pool_state.py
+++ b/siskinroad/work/pool_state.py
@@ -161,7 +161,9 @@
                 and run.begun_at
                 and not run.progress_at_begin
             ):
-                self.speeds.ended(run.queue, run.declared_s, now - run.begun_at)
+                self.speed_estimates.record_run(
+                    run.queue, run.declared_s, now - run.begun_at
+                )
         step = self.step(end.task)
         task = step.job.task(end.task) if step else None
         if step is None or task is None:
--- a/siskinroad/work/run_monitor.py
+++ b/siskinroad/work/run_monitor.py
@@ -19,7 +19,7 @@
 from siskinroad.work.job import StepRun
 from siskinroad.work.model import Timing
 from siskinroad.work.pool_state import PoolState
-from siskinroad.work.speed import extrapolate_total_s
+from siskinroad.work.speed_estimates import extrapolate_total_s
 
 __all__ = ["RunMonitor"]
 
@@ -107,16 +107,18 @@
         """Return why a run needs a speculative copy; empty if it needs none."""
         if host.is_failing and now - host.reported_at > COPY_SILENCE_S:
             return "host does not answer"
-        expected = self.pool_state.speeds.expected(run.queue, run.declared_s)
-        ratio = self.pool_state.speeds.ratio(run)
-        if expected is None:
+        expected_s = self.pool_state.speed_estimates.expected_s(
+            run.queue, run.declared_s
+        )
+        ratio = self.pool_state.speed_estimates.ratio(run)
+        if expected_s is None:
             return ""
         stalled_s = now - run.moved_at if run.moved_at else 0.0
-        if run.progress < 100 and stalled_s > max(COPY_STALL_S, 2 * expected / 100):
+        if run.progress < 100 and stalled_s > max(COPY_STALL_S, 2 * expected_s / 100):
             return "no progress"
-        left_s = self.pool_state.speeds.remaining(run, now)
+        left_s = self.pool_state.speed_estimates.remaining_s(run, now)
         slow = ratio is not None and ratio > COPY_RATIO
-        return "slow" if slow and left_s > MIN_COPY_GAIN * expected else ""
+        return "slow" if slow and left_s > MIN_COPY_GAIN * expected_s else ""
 
     def _stop_stalled_runs(self, host: Host, now: float) -> list[Effect]:
         """Stop stalled runs, so that their tasks restart elsewhere."""
@@ -157,7 +159,7 @@
 
     def _move_off_slow_host(self, host: Host, now: float) -> list[Effect]:
         """Quarantine a slow host, and stop runs that would end sooner elsewhere."""
-        slowness = self.pool_state.speeds.slowness(host)
+        slowness = self.pool_state.speed_estimates.slowness(host)
         if slowness < SLOW_HOST_RATIO or now - host.replied_at > STALL_TIMEOUT_S:
             return []
         self._quarantine_host(
@@ -209,7 +211,7 @@
             if step.spec.checkpoints
             else left_s + LEAVE_OVERSTAY_S
         )
-        return self.pool_state.speeds.remaining(run, now) > limit_s
+        return self.pool_state.speed_estimates.remaining_s(run, now) > limit_s
 
     def _end_quarantine(self, host: Host, now: float) -> None:
         if not host.is_quarantined:
--- a/siskinroad/work/speed.py
+++ b/siskinroad/work/speed_estimates.py
@@ -11,7 +11,7 @@
 
 from siskinroad.work.host import Host, Run
 
-__all__ = ["Speeds", "extrapolate_total_s"]
+__all__ = ["SpeedEstimates", "extrapolate_total_s"]
 
 # Least weight of a new sample in the moving average of its queue.
 SAMPLE_WEIGHT = 0.1
@@ -36,12 +36,12 @@
 
 
 @dataclass(slots=True)
-class Speeds:
+class SpeedEstimates:
     """Learned ratios of actual to declared run times, by queue."""
 
     queues: dict[str, _QueueRatio] = field(default_factory=dict)
 
-    def ended(self, queue: str, declared_s: float, seconds: float) -> None:
+    def record_run(self, queue: str, declared_s: float, seconds: float) -> None:
         """Add the run time of a successful run to the ratio of its queue."""
         if declared_s <= 0 or seconds <= 0:
             return
@@ -51,14 +51,14 @@
         weight = max(SAMPLE_WEIGHT, 1 / learned.samples)
         learned.ratio += weight * (seconds / declared_s - learned.ratio)
 
-    def expected(self, queue: str, declared_s: float) -> float | None:
+    def expected_s(self, queue: str, declared_s: float) -> float | None:
         """Return the expected seconds of a task; None without enough samples."""
         learned = self.queues.get(queue)
         if learned is None or learned.samples < MIN_SAMPLES or declared_s <= 0:
             return None
-        return declared_s * self.factor(queue)
+        return declared_s * self.run_time_ratio(queue)
 
-    def factor(self, queue: str) -> float:
+    def run_time_ratio(self, queue: str) -> float:
         """Return the ratio of actual to declared time of a queue; 1 until learned."""
         learned = self.queues.get(queue)
         return learned.ratio if learned and learned.samples >= MIN_SAMPLES else 1.0
@@ -69,15 +69,15 @@
         None if the run is too young by its newest report, is long-running, or has no
         expected time.
         """
-        expected = self.expected(run.queue, run.declared_s)
-        total = extrapolate_total_s(run)
-        if expected is None or total is None or run.long_running:
+        expected_s = self.expected_s(run.queue, run.declared_s)
+        total_s = extrapolate_total_s(run)
+        if expected_s is None or total_s is None or run.long_running:
             return None
-        if run.reported_at - run.begun_at < MIN_EXPECTED_FRACTION * expected:
+        if run.reported_at - run.begun_at < MIN_EXPECTED_FRACTION * expected_s:
             return None
-        return total / expected
+        return total_s / expected_s
 
-    def remaining(self, run: Run, now: float) -> float:
+    def remaining_s(self, run: Run, now: float) -> float:
         """Return the estimated seconds until a run ends.
 
         Extrapolates the run's progress; before that is possible, uses the declared time
@@ -86,12 +86,12 @@
         """
         if run.long_running:
             return float("inf")
-        total = extrapolate_total_s(run)
-        if total is None:
-            left = run.declared_s * (100 - run.progress_at_begin) / 100
-            total = left * self.factor(run.queue) or float("inf")
+        total_s = extrapolate_total_s(run)
+        if total_s is None:
+            left_s = run.declared_s * (100 - run.progress_at_begin) / 100
+            total_s = left_s * self.run_time_ratio(run.queue) or float("inf")
         begun_at = run.begun_at or now
-        return max(0.0, total - (now - begun_at))
+        return max(0.0, total_s - (now - begun_at))
 
     def slowness(self, host: Host) -> float:
         """Return the median ratio of a host's runs; 1 if fewer than ``MIN_JOBS`` count.
--- a/tests/work/test_planner.py
+++ b/tests/work/test_planner.py
@@ -67,7 +67,7 @@
     # declared time, the older job would count as late and lose its place.
     pool_state = make(["i-0"])
     for _ in range(20):
-        pool_state.speeds.ended("fast", 1.0, 2.0)
+        pool_state.speed_estimates.record_run("fast", 1.0, 2.0)
     add(pool_state, "older", job(step(1, cpu_milli=20000)), "fast", at=-1.6)
     add(pool_state, "younger", job(step(1, cpu_milli=20000)), "fast", at=0.0)
     assert started(plan(pool_state)) == [("older", "i-0")]
