--- a/siskinroad/work/job.py
+++ b/siskinroad/work/job.py
@@ -38,9 +38,9 @@
         Host of the newest run.
     failures : set of int
         Numbers of the runs that failed because of the task itself.
-    avoid : dict of str to float
+    avoided_hosts : dict of str to float
         Hosts on which a run failed or stalled, and the loop time when it did.
-    older : str
+    older_run_host : str
         Host of an older run that continues beside the newest one; empty if none.
     """
 
@@ -50,11 +50,11 @@
     host: str = ""
     failures: set[int] = field(default_factory=set)
     checkpoint: str = ""
-    avoid: dict[str, float] = field(default_factory=dict)
-    older: str = ""
+    avoided_hosts: dict[str, float] = field(default_factory=dict)
+    older_run_host: str = ""
 
     @property
-    def failed(self) -> int:
+    def failure_count(self) -> int:
         """Number of runs that failed because of the task itself."""
         return len(self.failures)
 
@@ -86,7 +86,7 @@
 
     Attributes
     ----------
-    by_host : dict of str to int
+    runs_by_host : dict of str to int
         Number of the step's runs that occupy capacity on each host.
     asked_hosts : set of str
         Hosts for which advice was requested.
@@ -103,7 +103,7 @@
     number: int
     spec: Step
     tasks: list[Task]
-    by_host: dict[str, int] = field(default_factory=dict)
+    runs_by_host: dict[str, int] = field(default_factory=dict)
     asked_hosts: set[str] = field(default_factory=set)
     tickets: dict[str, tuple[str, float]] = field(default_factory=dict)
     is_advice_pending: bool = False
@@ -147,9 +147,9 @@
     ----------
     outcome : str
         Final state from ``JobState``; empty while the job is open.
-    recorded : str
+    stored_outcome : str
         Outcome in the store; empty until the outcome is stored.
-    tails : list of float
+    remaining_times : list of float
         Declared seconds from the start of each step to the end of the job.
     chain_length : int
         Number of steps in the longest chain of steps that depend on each other.
@@ -162,13 +162,13 @@
     pool: str
     spec: JobSpec
     accepted_at: float
-    tails: list[float] = field(default_factory=list)
+    remaining_times: list[float] = field(default_factory=list)
     chain_length: int = 1
     steps: dict[tuple[int, int], StepRun] = field(default_factory=dict)
     opened: int = 0
     outcome: str = ""
     outcome_at: float = 0.0
-    recorded: str = ""
+    stored_outcome: str = ""
     started: bool = False
 
     @property
@@ -176,10 +176,10 @@
         """Whether the job has an outcome, so that no more tasks may start."""
         return self.outcome != ""
 
-    def shown(self) -> str:
+    def shown_state(self) -> str:
         """Return the state to show to callers; an outcome only once it is stored."""
-        if self.recorded:
-            return self.recorded
+        if self.stored_outcome:
+            return self.stored_outcome
         return JobState.ACTIVE if self.started else JobState.QUEUED
 
     def open_occurrence(self, *, settled: bool) -> list[StepRun]:
@@ -227,7 +227,7 @@
 
     def restore(self, progress: Progress) -> None:
         """Restore the job from its stored progress record."""
-        self.outcome = self.recorded = progress.state
+        self.outcome = self.stored_outcome = progress.state
         self.outcome_at = progress.at
         for note in progress.notes:
             while self.opened <= note.occurrence < self.spec.occurrences:
@@ -247,15 +247,15 @@
     """Return a new job that has not started, made from its accepted record."""
     job = Job(accepted.job, accepted.queue, accepted.pool, accepted.spec, accepted.at)
     steps = accepted.spec.steps
-    job.tails = _longest_tails(steps, [step.estimate for step in steps])
-    job.chain_length = round(max(_longest_tails(steps, [1.0 for _ in steps])))
+    job.remaining_times = _longest_chains(steps, [step.estimate for step in steps])
+    job.chain_length = round(max(_longest_chains(steps, [1.0 for _ in steps])))
     return job
 
 
-def _longest_tails(steps: tuple[Step, ...], lengths: list[float]) -> list[float]:
+def _longest_chains(steps: tuple[Step, ...], lengths: list[float]) -> list[float]:
     """Return the length of the longest chain from each step to the end of the job."""
-    tails = list(lengths)
+    chains = list(lengths)
     for i in reversed(range(len(steps))):
-        after = [tails[j] for j in range(i + 1, len(steps)) if i in steps[j].after]
-        tails[i] += max(after, default=0.0)
-    return tails
+        after = [chains[j] for j in range(i + 1, len(steps)) if i in steps[j].after]
+        chains[i] += max(after, default=0.0)
+    return chains
--- a/siskinroad/work/job_table.py
+++ b/siskinroad/work/job_table.py
@@ -120,7 +120,7 @@
         expired = [
             job.id
             for job in self.jobs.values()
-            if job.recorded and wall - job.outcome_at > retention
+            if job.stored_outcome and wall - job.outcome_at > retention
         ]
         for job_id in expired:
             del self.jobs[job_id]
@@ -136,7 +136,9 @@
         queue = self.queues.get(job.queue)
         if queue is None:
             return 0.0
-        chain = max(job.tails) * self.speed_estimates.run_time_ratio(job.queue)
+        chain = max(job.remaining_times) * self.speed_estimates.run_time_ratio(
+            job.queue
+        )
         if queue.advice is not None:
             chain += job.chain_length * queue.advice.duration(HOSTS_PER_ADVICE_REQUEST)
         return queue.slack * chain + queue.target
--- a/siskinroad/work/lease_renewer.py
+++ b/siskinroad/work/lease_renewer.py
@@ -25,7 +25,7 @@
 RECONCILE_RETRY_INTERVAL = 0.1
 # Seconds for which the next call to a host waits until the ends that its report
 # listed are stored, so that it can acknowledge them.
-RECORD_TIMEOUT = 0.6
+END_STORED_TIMEOUT = 0.6
 
 log = logging.getLogger("siskinroad.lease_renewer")
 
@@ -127,7 +127,7 @@
     async def _wait_until_stored(self, host: Host) -> None:
         """Wait briefly until the ends that a host has listed are stored."""
         self.term.store_wanted.set()
-        until = asyncio.get_running_loop().time() + RECORD_TIMEOUT
+        until = asyncio.get_running_loop().time() + END_STORED_TIMEOUT
         while host.last_end_seen > host.last_end_stored:
             left = until - asyncio.get_running_loop().time()
             if left <= 0:
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -155,7 +155,7 @@
         """Store unrecorded progress and release the pool; call this after ``run``."""
         extra = {"pool": self.pool, "term": self.term.number}
         try:
-            while self.progress.due:
+            while self.progress.has_unstored_changes:
                 await self.progress.flush()
         except SiskinroadError as exc:
             # The next owner may have fenced this term already.
@@ -287,7 +287,7 @@
             self.pool_state.open_due(now, wall, EARLY_START_TIME)
             effects += self.run_monitor.check_runs(now, wall)
             self._execute_effects(effects)
-            if self.progress.due:
+            if self.progress.has_unstored_changes:
                 self.term.store_wanted.set()
             self.term.plan_wanted.set()
 
@@ -319,7 +319,7 @@
         """
         job = self.pool_state.jobs.get(job_id)
         if job is not None:
-            return job.shown()
+            return job.shown_state()
         self._require_fresh_records()
         return None
 
@@ -342,10 +342,10 @@
         if job is None:
             self._require_fresh_records()
             return False
-        if job.recorded:
+        if job.stored_outcome:
             return True
         now, wall = asyncio.get_running_loop().time(), self.dependencies.wall()
-        waiter = self.progress.get_recorded_event(job_id)
+        waiter = self.progress.get_stored_event(job_id)
         self._execute_effects(self.pool_state.cancel(job_id, now, wall))
         self.term.store_wanted.set()
         try:
--- a/siskinroad/work/planner.py
+++ b/siskinroad/work/planner.py
@@ -130,7 +130,7 @@
         """
         job = step.job
         queue = self.pool_state.queues.get(job.queue)
-        remaining_s = job.tails[
+        remaining_s = job.remaining_times[
             step.number
         ] * self.pool_state.speed_estimates.run_time_ratio(job.queue)
         earliest_end = wall + EARLIEST_END_FRACTION * remaining_s
@@ -228,7 +228,7 @@
                 continue
             if not step_allows_host(step, host, placement):
                 continue
-            has_failed_here = host.name in task.avoid
+            has_failed_here = host.name in task.avoided_hosts
             cost = (
                 has_failed_here,
                 *_compute_cost(planning_pass, step, host, available, placement),
@@ -359,7 +359,7 @@
         host.reserved.pop(step.key, None)
         planning_pass.non_urgent_cpu_milli -= step.spec.need.cpu_milli
         host.add(run)
-        step.by_host[host.name] = step.by_host.get(host.name, 0) + 1
+        step.runs_by_host[host.name] = step.runs_by_host.get(host.name, 0) + 1
         ticket = step.tickets.get(host.name, ("", 0.0))[0]
         payload = step.job.spec.payload
         planning_pass.effects.append(
@@ -421,7 +421,7 @@
         return (rack_penalty, serving_runs, best_effort_runs, -available.cpu_milli)
     if spec.tail_limit or spec.long_running:
         best_effort_runs = sum(1 for run in host.runs.values() if run.filler)
-        same_step_runs = step.by_host.get(host.name, 0) + placement.counts.get(
+        same_step_runs = step.runs_by_host.get(host.name, 0) + placement.counts.get(
             host.name, 0
         )
         return (rack_penalty, best_effort_runs, same_step_runs, -available.cpu_milli)
--- a/siskinroad/work/planning_pass.py
+++ b/siskinroad/work/planning_pass.py
@@ -82,9 +82,9 @@
     may be the only one that is allowed or has free capacity. A speculative copy never
     goes to the host of the older run.
     """
-    if host.name == task.older:
+    if host.name == task.older_run_host:
         return True
-    failed_at = task.avoid.get(host.name)
+    failed_at = task.avoided_hosts.get(host.name)
     return failed_at is not None and now - failed_at < AVOID_FAILED_HOST_S
 
 
@@ -103,7 +103,7 @@
         return False
     if not spec.spread:
         return True
-    count = step.by_host.get(host.name, 0) + placement.counts.get(host.name, 0)
+    count = step.runs_by_host.get(host.name, 0) + placement.counts.get(host.name, 0)
     return count < spec.spread
 
 
--- a/siskinroad/work/pool_state.py
+++ b/siskinroad/work/pool_state.py
@@ -184,11 +184,13 @@
         if end.end_kind is EndKind.DONE:
             task.run = max(task.run, end.run)
             return self._complete_task(step, task, now, wall)
-        newest = end.run >= task.run
+        is_newest = end.run >= task.run
         task.run = max(task.run, end.run)
         if task.state == "unsettled":
             self.dirty.add(task.id.job)
-        return self._handle_unsuccessful_end(host, step, task, end, newest, now, wall)
+        return self._handle_unsuccessful_end(
+            host, step, task, end, is_newest, now, wall
+        )
 
     def _complete_task(
         self, step: StepRun, task: Task, now: float, wall: float
@@ -217,13 +219,13 @@
         step: StepRun,
         task: Task,
         end: RunEnd,
-        newest: bool,
+        is_newest: bool,
         now: float,
         wall: float,
     ) -> list[Effect]:
         if task.state == "done":
             return []
-        if newest and task.allows("free"):
+        if is_newest and task.allows("free"):
             task.move("free")
         if end.end_kind is EndKind.FAILED and end.run not in task.failures:
             return self._record_failure(host, step, task, end.run, now, wall)
@@ -242,7 +244,7 @@
         tasks = step.tasks if step.spec.gang else [task]
         for each in tasks:
             each.failures.add(run)
-        task.avoid[host.name] = now
+        task.avoided_hosts[host.name] = now
         self.dirty.add(job.id)
         verdict = self.health.observe(host.name, job.id, False, now, len(self.hosts))
         if verdict is not None and verdict.event == "eject":
@@ -253,7 +255,7 @@
             )
         queue = self.queues.get(job.queue)
         attempt_limit = queue.max_attempts if queue else 1
-        if step.spec.long_running or task.failed < attempt_limit or job.closed:
+        if step.spec.long_running or task.failure_count < attempt_limit or job.closed:
             return []
         return self._close_job(job, JobState.FAILED, wall)
 
@@ -312,7 +314,7 @@
             and row.run >= task.run
         )
         if step is not None:
-            step.by_host[host.name] = step.by_host.get(host.name, 0) + 1
+            step.runs_by_host[host.name] = step.runs_by_host.get(host.name, 0) + 1
         if not wanted or step is None or task is None:
             run.is_unexpected = True
             return run, self.stop(host, run, "not wanted")
--- a/siskinroad/work/progress.py
+++ b/siskinroad/work/progress.py
@@ -59,18 +59,18 @@
     def __init__(self, term: Term, hosts: HostSet | None) -> None:
         self.term = term
         self.flushed = asyncio.Event()
-        self._recorded_hosts = hosts
+        self._stored_hosts = hosts
         self._sequence = 0
         self._batch: _Batch | None = None
         self._waiters: dict[str, asyncio.Event] = {}
 
     @property
-    def due(self) -> bool:
+    def has_unstored_changes(self) -> bool:
         """Whether anything has not been stored yet."""
         pending = self._batch is not None or bool(self.term.pool_state.dirty)
-        return pending or self._host_set() != self._recorded_hosts
+        return pending or self._host_set() != self._stored_hosts
 
-    def get_recorded_event(self, job_id: str) -> asyncio.Event:
+    def get_stored_event(self, job_id: str) -> asyncio.Event:
         """Return an event that is set once the job's outcome is stored."""
         self.term.store_wanted.set()
         return self._waiters.setdefault(job_id, asyncio.Event())
@@ -129,7 +129,7 @@
             )
             self._sequence += 1
         self._batch = None
-        self._mark_recorded(batch)
+        self._mark_stored(batch)
         if self.term.pool_state.dirty:
             self.term.store_wanted.set()
 
@@ -143,7 +143,7 @@
         ]
         records = [record_of(job.progress()) for job in jobs]
         hosts = self._host_set()
-        if hosts != self._recorded_hosts:
+        if hosts != self._stored_hosts:
             records.append(record_of(hosts))
         ends_seen: tuple[tuple[str, int, int], ...] = ()
         if not self.term.pool_state.dirty:
@@ -154,13 +154,13 @@
         outcomes = tuple((job, job.outcome) for job in jobs)
         return _Batch(tuple(records), outcomes, hosts, ends_seen)
 
-    def _mark_recorded(self, batch: _Batch) -> None:
-        self._recorded_hosts = batch.hosts
+    def _mark_stored(self, batch: _Batch) -> None:
+        self._stored_hosts = batch.hosts
         for name in batch.hosts.names:
             if name in self.term.pool_state.hosts:
                 self.term.pool_state.hosts[name].is_stored = True
         for job, outcome in batch.outcomes:
-            job.recorded = outcome
+            job.stored_outcome = outcome
             waiter = self._waiters.pop(job.id, None)
             if waiter is not None:
                 waiter.set()
--- a/siskinroad/work/run_monitor.py
+++ b/siskinroad/work/run_monitor.py
@@ -129,7 +129,7 @@
         for run in stalled:
             task = self.pool_state.task(run.key[0])
             if task is not None:
-                task.avoid[host.name] = now
+                task.avoided_hosts[host.name] = now
             effects += self.pool_state.stop(host, run, "no progress")
         if len(stalled) >= QUARANTINE_STALLED_RUNS:
             self._quarantine_host(host, now, QUARANTINE_S, "stalls")
--- a/siskinroad/work/run_table.py
+++ b/siskinroad/work/run_table.py
@@ -22,7 +22,7 @@
 TOKENS_PER_TERM = 1 << 20
 # Run numbers that a former owner may have used for one task without storing them.
 # They are skipped after a takeover, so that no run number is used twice.
-MAX_UNRECORDED_RUNS = 8
+MAX_UNSTORED_RUNS = 8
 
 log = logging.getLogger("siskinroad.pool_state")
 
@@ -88,11 +88,11 @@
         """
         step = self.step(run.key[0])
         task = self.task(run.key[0])
-        if step is None or task is None or not step.spec.copies or task.older:
+        if step is None or task is None or not step.spec.copies or task.older_run_host:
             return False
         if task.run != run.key[1] or not task.allows("free"):
             return False
-        task.older = host.name
+        task.older_run_host = host.name
         task.move("free")
         log.info(
             "pool_state: task may be placed again as a speculative copy",
@@ -174,7 +174,7 @@
             for step in job.steps.values():
                 for task in step.tasks:
                     if task.state == "unsettled":
-                        task.run += MAX_UNRECORDED_RUNS
+                        task.run += MAX_UNSTORED_RUNS
                         task.move("settle")
                         count += 1
         log.info(
@@ -245,11 +245,11 @@
     def _remove_run(self, host: Host, run: Run) -> None:
         host.drop(run)
         step = self.step(run.key[0])
-        if step is not None and step.by_host.get(host.name):
-            step.by_host[host.name] -= 1
+        if step is not None and step.runs_by_host.get(host.name):
+            step.runs_by_host[host.name] -= 1
         task = self.task(run.key[0])
-        if task is not None and task.older == host.name:
-            task.older = ""
+        if task is not None and task.older_run_host == host.name:
+            task.older_run_host = ""
 
     def _end_run(self, host: Host, run: Run, why: str, now: float) -> list[Effect]:
         """End a run whose end no host has listed; its task may be placed again."""
--- a/tests/work/test_planner.py
+++ b/tests/work/test_planner.py
@@ -156,7 +156,7 @@
     pool_state = make(["i-0", "i-1"])
     gang = add(pool_state, "g", job(step(2, cpu_milli=30000, gang=True)))
     for task in gang.steps[0, 0].tasks:
-        task.avoid["i-0"] = 0.0
+        task.avoided_hosts["i-0"] = 0.0
     assert started(plan(pool_state, now=0.1)) == []
     assert len(started(plan(pool_state, now=1.6))) == 2
 
@@ -164,7 +164,7 @@
 def test_a_task_prefers_a_host_where_it_has_not_failed():
     pool_state = make(["i-0", "i-1"])
     one = add(pool_state, "g", job(step(1)))
-    one.steps[0, 0].tasks[0].avoid["i-0"] = -9.0
+    one.steps[0, 0].tasks[0].avoided_hosts["i-0"] = -9.0
     assert started(plan(pool_state)) == [("g", "i-1")]
 
 
--- a/tests/work/test_pool_state.py
+++ b/tests/work/test_pool_state.py
@@ -59,10 +59,10 @@
     pool_state.apply_start_reply(pool_state.hosts["i-0"], start.run, None, 0.1)
     end = RunEnd(1, TASK, 1, EndKind.FAILED, "")
     send_report(pool_state, "i-0", 1.0, ended=[end])
-    assert pool_state.task(TASK).failed == 1
+    assert pool_state.task(TASK).failure_count == 1
     next_owner = make_successor(pool_state)
     send_report(next_owner, "i-0", 2.0, ended=[end])
-    assert next_owner.task(TASK).failed == 1
+    assert next_owner.task(TASK).failure_count == 1
 
 
 def test_failures_of_two_members_count_as_one_failure_of_the_gang():
@@ -73,7 +73,10 @@
         RunEnd(i + 1, TaskId("j", 0, 0, i), 1, EndKind.FAILED, "") for i in range(2)
     ]
     send_report(pool_state, pool_state.task(TASK).host, 1.0, ended=ends)
-    assert [task.failed for task in pool_state.jobs["j"].steps[0, 0].tasks] == [1, 1]
+    assert [task.failure_count for task in pool_state.jobs["j"].steps[0, 0].tasks] == [
+        1,
+        1,
+    ]
 
 
 def test_capacity_stays_occupied_until_the_end_is_listed():
@@ -168,7 +171,7 @@
     send_report(pool_state, "i-0", 1.2, ended=[RunEnd(1, TASK, 1, EndKind.STOPPED, "")])
     assert not plan_starts(pool_state, 1.3)
     assert pool_state.jobs["j"].outcome == "cancelled"
-    assert pool_state.jobs["j"].shown() == "queued"
+    assert pool_state.jobs["j"].shown_state() == "queued"
 
 
 def test_runs_of_a_silent_host_end_once_its_leases_have_expired():
@@ -198,7 +201,7 @@
     pool_state.former_leases_end_at = 1e9
     send_report(pool_state, "i-1", 0.1, ended=[RunEnd(1, TASK, 3, EndKind.FAILED, "")])
     send_report(pool_state, "i-0", 0.2, ended=[RunEnd(1, TASK, 2, EndKind.FAILED, "")])
-    assert pool_state.task(TASK).failed == 2
+    assert pool_state.task(TASK).failure_count == 2
     pool_state.settle_tasks(0.3)
     assert pool_state.task(TASK).run > 3
 
@@ -208,7 +211,7 @@
     task = pool_state.task(TASK)
     task.run = 5
     send_report(pool_state, "i-0", 0.1, ended=[RunEnd(1, TASK, 2, EndKind.FAILED, "")])
-    assert task.failed == 1 and task.state == "waiting"
+    assert task.failure_count == 1 and task.state == "waiting"
 
 
 def test_a_lease_is_computed_from_the_time_of_the_reply_not_of_the_request():
--- a/tests/work/test_run_monitor.py
+++ b/tests/work/test_run_monitor.py
@@ -234,14 +234,14 @@
         ended=[RunEnd(99, *begun.run.key, EndKind.FAILED, "")],
     )
     task = pool_state.task(begun.run.key[0])
-    assert (task.failed, task.state, task.older) == (1, "placed", "")
+    assert (task.failure_count, task.state, task.older_run_host) == (1, "placed", "")
     report_host(
         pool_state,
         copy_start.host,
         3.3,
         ended=[RunEnd(99, *copy_start.run.key, EndKind.FAILED, "")],
     )
-    assert (task.failed, task.state) == (2, "waiting")
+    assert (task.failure_count, task.state) == (2, "waiting")
 
 
 def drain_host(pool_state, host, min_stay_s, now):
