--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -95,7 +95,7 @@
     run_scenario(scenario)
 
 
-def test_after_everything_was_killed_work_starts_within_a_second_of_the_restart():
+def test_waiting_work_starts_within_a_second_after_restart_of_all_daemons():
     # All daemons are killed at once while jobs wait, and then restart; the waiting jobs
     # must not wait for long after that.
     async def scenario(cell):
@@ -156,7 +156,7 @@
     run_scenario(scenario)
 
 
-def test_an_owner_that_stops_in_an_outage_holds_its_hosts_until_the_store_is_back():
+def test_draining_owner_renews_leases_until_store_recovers():
     # An owner stopped when the store became silent. No daemon could claim its pool, and
     # the leases of 21 runs expired before the store answered again.
     async def scenario(cell):
@@ -181,7 +181,7 @@
     run_scenario(scenario)
 
 
-def test_a_stop_in_an_outage_without_end_gives_the_pools_up_in_time():
+def test_drain_releases_pools_in_time_during_endless_outage():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
         cell.logs.faults.no_replies = True
@@ -194,7 +194,7 @@
     run_scenario(scenario)
 
 
-def test_a_daemon_that_starts_without_the_store_serves_by_way_of_its_peers():
+def test_daemon_started_without_store_serves_through_peers():
     # A daemon is killed and restarts while the store rejects its calls.
     async def scenario(cell):
         await cell.start_daemons("a", "b", "c")
@@ -356,7 +356,7 @@
     run_scenario(scenario)
 
 
-def test_a_store_that_is_down_refuses_at_once_and_accepted_work_goes_on():
+def test_unavailable_store_refuses_jobs_at_once_and_accepted_work_continues():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
         await cell.submit("a", JOB_ID, job(step(1), step(1, after=(0,))))
@@ -588,7 +588,7 @@
     run_scenario(scenario)
 
 
-def test_a_host_that_begins_a_new_life_under_its_name_has_lost_its_work():
+def test_restarted_host_has_lost_its_runs():
     async def scenario(cell):
         for host in cell.hosts.hosts.values():
             host.task_duration_s = 5.0
