--- a/siskinroad/work/advice_requester.py
+++ b/siskinroad/work/advice_requester.py
@@ -157,7 +157,7 @@
         """Request advice for steps that become ready when the running ones end."""
         for step in list(self.pool_state.ready.values()):
             queue = self.pool_state.queues.get(step.job.queue)
-            if queue is None or queue.advice is None or step.job.closed:
+            if queue is None or queue.advice is None or step.job.is_closed:
                 continue
             for after in step.job.steps.values():
                 if step.number in after.spec.after:
--- a/siskinroad/work/batcher.py
+++ b/siskinroad/work/batcher.py
@@ -174,8 +174,8 @@
         return []
 
     def _append_timeout(self, attempts: int) -> float:
-        wanted = max(MIN_APPEND_TIMEOUT, APPEND_TIMEOUT_FACTOR * self._latency)
-        return min(MAX_APPEND_TIMEOUT, wanted * 2**attempts)
+        timeout = max(MIN_APPEND_TIMEOUT, APPEND_TIMEOUT_FACTOR * self._latency)
+        return min(MAX_APPEND_TIMEOUT, timeout * 2**attempts)
 
     def _refuse_if_silent(self, since: float) -> None:
         if self._last_answer_at() <= since:
--- a/siskinroad/work/claim_manager.py
+++ b/siskinroad/work/claim_manager.py
@@ -68,7 +68,7 @@
     ----------
     configuration : Configuration or None
         The configuration in force; nothing is claimed without one.
-    leaving : bool
+    is_leaving : bool
         Whether this daemon is stopping and claims no more pools.
     owners : dict of str to PoolOwner
         Owners of the pools that this daemon owns, by pool.
@@ -87,7 +87,7 @@
         send_heartbeat: Callable[[], None],
     ) -> None:
         self.configuration: Configuration | None = None
-        self.leaving = False
+        self.is_leaving = False
         self.owners: dict[str, PoolOwner] = {}
         self.check_requested = asyncio.Event()
         self._member = member
@@ -116,7 +116,9 @@
     def can_claim(self) -> bool:
         """Whether this daemon is up long enough, configured and not leaving."""
         is_up_long_enough = self._uptime() >= CLAIM_STARTUP_DELAY
-        return is_up_long_enough and self.configuration is not None and not self.leaving
+        return (
+            is_up_long_enough and self.configuration is not None and not self.is_leaving
+        )
 
     def _uptime(self) -> float:
         return asyncio.get_running_loop().time() - self._started_at
@@ -182,7 +184,7 @@
         if known is None or known.incarnation != owner.incarnation:
             return False
         last_heartbeat = self._members.last_heartbeats.get(owner.node)
-        if last_heartbeat is not None and last_heartbeat.heartbeat.leaving:
+        if last_heartbeat is not None and last_heartbeat.heartbeat.is_leaving:
             return False
         return await self._peers.probe(owner.node) is Reach.LISTENS
 
--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -178,11 +178,11 @@
         )
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this daemon should receive requests from callers."""
         return (
             self.job_service.configuration is not None
-            and not self.claim_manager.leaving
+            and not self.claim_manager.is_leaving
         )
 
     def start(self) -> None:
@@ -209,7 +209,7 @@
             no other daemon could claim them, and the leases of their hosts would
             expire.
         """
-        self.claim_manager.leaving = True
+        self.claim_manager.is_leaving = True
         self._send_heartbeats()
         try:
             async with asyncio.timeout(store_wait):
@@ -324,7 +324,7 @@
             self.member.incarnation,
             owned,
             age,
-            self.claim_manager.leaving,
+            self.claim_manager.is_leaving,
             self.claim_manager.can_claim,
             round(self.advisor_channels.backlog(now), 2),
             self.claim_manager.claiming,
@@ -407,7 +407,7 @@
         # A draining daemon never selects itself: the others no longer select it either.
         age = (
             float("inf")
-            if self.claim_manager.leaving
+            if self.claim_manager.is_leaving
             else now - self.store.direct_answer_at
         )
         return self.members.job_writer(pool, now, age)
@@ -423,7 +423,7 @@
             case Heartbeat():
                 self.members.record_heartbeat(msg, now)
                 self.advisor_channels.record_backlog(msg.node, msg.backlog, now)
-                if msg.leaving:
+                if msg.is_leaving:
                     self.claim_manager.check_requested.set()
                 self._check_for_later_terms(msg)
             case Hello():
--- a/siskinroad/work/headroom.py
+++ b/siskinroad/work/headroom.py
@@ -50,5 +50,7 @@
         urgent_used : float
             Thousandths of a processor that urgent tasks hold already.
         """
-        wanted = min(self.peak * KEPT_PEAK_FRACTION, capacity * MAX_KEPT_FRACTION)
-        return max(0.0, wanted - urgent_used)
+        desired_headroom = min(
+            self.peak * KEPT_PEAK_FRACTION, capacity * MAX_KEPT_FRACTION
+        )
+        return max(0.0, desired_headroom - urgent_used)
--- a/siskinroad/work/job.py
+++ b/siskinroad/work/job.py
@@ -153,7 +153,7 @@
         Declared seconds from the start of each step to the end of the job.
     chain_length : int
         Number of steps in the longest chain of steps that depend on each other.
-    started : bool
+    has_started : bool
         Whether any task has started.
     """
 
@@ -169,10 +169,10 @@
     outcome: str = ""
     outcome_at: float = 0.0
     stored_outcome: str = ""
-    started: bool = False
+    has_started: bool = False
 
     @property
-    def closed(self) -> bool:
+    def is_closed(self) -> bool:
         """Whether the job has an outcome, so that no more tasks may start."""
         return self.outcome != ""
 
@@ -180,7 +180,7 @@
         """Return the state to show to callers; an outcome only once it is stored."""
         if self.stored_outcome:
             return self.stored_outcome
-        return JobState.ACTIVE if self.started else JobState.QUEUED
+        return JobState.ACTIVE if self.has_started else JobState.QUEUED
 
     def open_occurrence(self, *, settled: bool) -> list[StepRun]:
         """Add the steps of the next occurrence.
@@ -238,7 +238,7 @@
             task.run = note.run
             task.failures = set(note.failed_runs)
             task.checkpoint = note.checkpoint
-            self.started = True
+            self.has_started = True
             if note.done:
                 task.move("done")
 
--- a/siskinroad/work/job_table.py
+++ b/siskinroad/work/job_table.py
@@ -99,12 +99,12 @@
         """Open occurrences that are due within ``max_lead`` seconds."""
         for job_id in list(self.timed):
             job = self.jobs[job_id]
-            while job.opened < job.spec.occurrences and not job.closed:
+            while job.opened < job.spec.occurrences and not job.is_closed:
                 if job.spec.due(job.opened) > wall + max_lead:
                     break
                 job.open_occurrence(settled=self.settled)
                 self._collect_ready_steps(job, now)
-            if job.closed or job.opened >= job.spec.occurrences:
+            if job.is_closed or job.opened >= job.spec.occurrences:
                 self.timed.discard(job_id)
 
     def count_pending(self, queue: str) -> int:
@@ -112,7 +112,7 @@
         return sum(
             1
             for job in self.jobs.values()
-            if job.queue == queue and not job.started and not job.closed
+            if job.queue == queue and not job.has_started and not job.is_closed
         )
 
     def forget_closed(self, wall: float, retention: float) -> list[str]:
@@ -163,7 +163,7 @@
         return job.steps.get((key[1], key[2])) if job else None
 
     def _collect_ready_steps(self, job: Job, now: float) -> None:
-        if job.closed:
+        if job.is_closed:
             return
         for step in job.steps.values():
             if step.key not in self.ready and not step.is_done() and job.is_ready(step):
@@ -179,7 +179,7 @@
         self._collect_ready_steps(job, now)
 
     def _complete_job_if_done(self, job: Job, wall: float) -> None:
-        if job.closed or job.opened < job.spec.occurrences:
+        if job.is_closed or job.opened < job.spec.occurrences:
             return
         if all(step.is_done() for step in job.steps.values()):
             self._set_outcome(job, JobState.COMPLETE, wall)
--- a/siskinroad/work/members.py
+++ b/siskinroad/work/members.py
@@ -72,7 +72,7 @@
     def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
         """Apply a heartbeat, unless it is from an earlier incarnation."""
         previous = self.last_heartbeats.get(heartbeat.node)
-        if previous is not None and heartbeat.leaving:
+        if previous is not None and heartbeat.is_leaving:
             kept = {pool for pool, _ in heartbeat.owned}
             for pool, _ in previous.heartbeat.owned:
                 if pool not in kept:
@@ -100,7 +100,7 @@
             node
             for node, last_heartbeat in self.last_heartbeats.items()
             if now - last_heartbeat.at <= HEARTBEAT_TIMEOUT
-            and not last_heartbeat.heartbeat.leaving
+            and not last_heartbeat.heartbeat.is_leaving
             and node != self.node
         )
 
--- a/siskinroad/work/messages.py
+++ b/siskinroad/work/messages.py
@@ -36,7 +36,7 @@
         Name and term of each pool that the sender owns.
     store_age : float
         Seconds since the store last replied to the sender.
-    leaving : bool
+    is_leaving : bool
         Whether the sender is about to stop.
     can_claim : bool
         Whether the sender has been up for long enough to claim a pool.
@@ -50,7 +50,7 @@
     incarnation: int
     owned: tuple[tuple[str, int], ...]
     store_age: float
-    leaving: bool
+    is_leaving: bool
     can_claim: bool
     backlog: float = 0.0
     claiming: tuple[str, ...] = ()
--- a/siskinroad/work/planner.py
+++ b/siskinroad/work/planner.py
@@ -79,7 +79,7 @@
         hosts = [
             host for host in self.pool_state.hosts.values() if host.is_schedulable(now)
         ]
-        steps = [s for s in self.pool_state.ready.values() if not s.job.closed]
+        steps = [s for s in self.pool_state.ready.values() if not s.job.is_closed]
         demand = _compute_demand(steps, hosts)
         planning_pass = PlanningPass(
             self.pool_state, now, wall, hosts, demand, channels=channels
--- a/siskinroad/work/pool_state.py
+++ b/siskinroad/work/pool_state.py
@@ -196,7 +196,7 @@
         self, step: StepRun, task: Task, now: float, wall: float
     ) -> list[Effect]:
         job = step.job
-        if job.closed:
+        if job.is_closed:
             if task.allows("done"):
                 task.move("done")
             return []
@@ -206,7 +206,7 @@
             if each.state != "done":
                 each.run = max(each.run, task.run)
                 each.move("done")
-        job.started = True
+        job.has_started = True
         self.dirty.add(job.id)
         self.health.observe(task.host, job.id, True, now, len(self.hosts))
         self._close_step_if_done(step, now)
@@ -255,7 +255,11 @@
             )
         queue = self.queues.get(job.queue)
         attempt_limit = queue.max_attempts if queue else 1
-        if step.spec.long_running or task.failure_count < attempt_limit or job.closed:
+        if (
+            step.spec.long_running
+            or task.failure_count < attempt_limit
+            or job.is_closed
+        ):
             return []
         return self._close_job(job, JobState.FAILED, wall)
 
@@ -286,7 +290,7 @@
 
     def _is_job_closed(self, run: Run) -> bool:
         job = self.jobs.get(run.key[0].job)
-        return job is None or job.closed
+        return job is None or job.is_closed
 
     def _adopt_run(
         self, host: Host, row: RunStatus, now: float
@@ -306,22 +310,22 @@
         run.moved_at = now
         run.begun_at = now
         host.add(run)
-        wanted = (
+        is_wanted = (
             step is not None
             and task is not None
-            and not step.job.closed
+            and not step.job.is_closed
             and task.state in ("unsettled", "waiting")
             and row.run >= task.run
         )
         if step is not None:
             step.runs_by_host[host.name] = step.runs_by_host.get(host.name, 0) + 1
-        if not wanted or step is None or task is None:
+        if not is_wanted or step is None or task is None:
             run.is_unexpected = True
             return run, self.stop(host, run, "not wanted")
         task.run = row.run
         task.host = host.name
         task.move("adopt")
-        step.job.started = True
+        step.job.has_started = True
         return run, []
 
     def _end_absent_runs(
--- a/siskinroad/work/run_table.py
+++ b/siskinroad/work/run_table.py
@@ -54,7 +54,7 @@
     def cancel(self, job_id: str, now: float, wall: float) -> list[Effect]:
         """Cancel a job: waiting tasks never start, runs are stopped."""
         job = self.jobs.get(job_id)
-        if job is None or job.closed:
+        if job is None or job.is_closed:
             return []
         return self._close_job(job, JobState.CANCELLED, wall)
 
@@ -240,7 +240,7 @@
             run.begun_at = now
         job = self.jobs.get(run.key[0].job)
         if job is not None:
-            job.started = True
+            job.has_started = True
 
     def _remove_run(self, host: Host, run: Run) -> None:
         host.drop(run)
--- a/siskinroad/work/workmetrics.py
+++ b/siskinroad/work/workmetrics.py
@@ -32,7 +32,7 @@
         self.claims = Counter(
             "siskinroad_pool_claims", "Claims of pools.", ("event",), registry=reg
         )
-        self.lines = Gauge(
+        self.dropped_lines = Gauge(
             "siskinroad_log_lines_dropped", "Log lines left out.", registry=reg
         )
         self.latency = Histogram(
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -204,7 +204,7 @@
         await asyncio.sleep(1.0)
         cell.start(restarted)
         await asyncio.sleep(4.0)
-        assert cell.daemons[restarted].ready
+        assert cell.daemons[restarted].is_ready
         reply = await cell.submit(restarted, JOB_ID, job())
         assert reply.kind == "ok"
         await cell.wait_for_state(JOB_ID, "complete")
--- a/tests/work/test_members.py
+++ b/tests/work/test_members.py
@@ -6,9 +6,9 @@
 
 
 def heartbeat(
-    node, owned=(), incarnation=1, store_age=0.1, leaving=False, can_claim=True
+    node, owned=(), incarnation=1, store_age=0.1, is_leaving=False, can_claim=True
 ):
-    return Heartbeat(node, incarnation, tuple(owned), store_age, leaving, can_claim)
+    return Heartbeat(node, incarnation, tuple(owned), store_age, is_leaving, can_claim)
 
 
 def make_members(*heartbeats, node="a", now=10.0):
@@ -77,9 +77,9 @@
 
 def test_a_pool_released_by_a_leaving_owner_is_known():
     members = make_members(heartbeat("b", [("p", 4)]))
-    members.record_heartbeat(heartbeat("b", [("p", 4)], leaving=True), 10.1)
+    members.record_heartbeat(heartbeat("b", [("p", 4)], is_leaving=True), 10.1)
     assert not members.was_released("p", 10.1)
-    members.record_heartbeat(heartbeat("b", leaving=True), 10.2)
+    members.record_heartbeat(heartbeat("b", is_leaving=True), 10.2)
     assert members.was_released("p", 10.2)
     assert members.live_members(10.2) == []
 
@@ -142,7 +142,7 @@
 
 def test_a_leaving_owner_receives_requests_for_as_long_as_it_owns_the_pool():
     # Submissions during a rolling stop must not bypass the owner and go to the store.
-    members = make_members(heartbeat("b", [("p", 4)], leaving=True), heartbeat("c"))
+    members = make_members(heartbeat("b", [("p", 4)], is_leaving=True), heartbeat("c"))
     assert members.live_members(10.1) == ["c"]
     assert members.is_alive("b", 10.1) and members.owner("p", 10.1) == "b"
     assert not members.is_alive("b", 12.5) and not members.is_alive("x", 10.1)
