--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -11,37 +11,41 @@
 from siskinroad.peers import Peers, Reach
 from siskinroad.resources import Resources
 from siskinroad.suspend import SuspendWatch
-from siskinroad.work.calls import Calls
-from siskinroad.work.claims import Claims
-from siskinroad.work.desk import Desk
-from siskinroad.work.follow import Follower
-from siskinroad.work.intake import Intake
-from siskinroad.work.lines import AdviceLines
-from siskinroad.work.members import BEAT_TIME, OWNER_BEAT_TIME, Members
+from siskinroad.work.advisor_channels import AdvisorChannels
+from siskinroad.work.claim_manager import ClaimManager
+from siskinroad.work.follower import Follower
+from siskinroad.work.job_service import JobService
+from siskinroad.work.job_writer import JobWriter
+from siskinroad.work.members import (
+    HEARTBEAT_INTERVAL,
+    OWNER_HEARTBEAT_INTERVAL,
+    Members,
+)
 from siskinroad.work.messages import (
     AdviceReply,
     AdviceRequest,
-    Beat,
+    Heartbeat,
     Hello,
-    JobAnswer,
-    JobQuestion,
+    JobReply,
+    JobRequest,
     RelayReply,
     RelayRequest,
     SubmitReply,
     SubmitRequest,
 )
-from siskinroad.work.model import HostEntry, Setup, Timing
-from siskinroad.work.outside import Outside
+from siskinroad.work.model import Configuration, HostEntry, Timing
+from siskinroad.work.peer_calls import PeerCalls
+from siskinroad.work.platform_clients import PlatformClients
 from siskinroad.work.records import (
     MEMBERS_TOPIC,
     Member,
+    decode_stored,
     record_of,
-    unpack,
 )
 from siskinroad.work.relay import RelayStore
-from siskinroad.work.store import Newest
-from siskinroad.work.term import OwnerParts
-from siskinroad.work.watch import StoreWatch
+from siskinroad.work.store import NewestRecord
+from siskinroad.work.store_probe import StoreProbe
+from siskinroad.work.term import OwnerDependencies
 from siskinroad.work.workmetrics import WorkMetrics
 
 __all__ = ["WorkDaemon"]
@@ -78,14 +82,14 @@
     def __init__(
         self,
         member: Member,
-        outside: Outside,
+        platform_clients: PlatformClients,
         peers: Peers,
         register_address: Callable[[Member], None],
         timing: Timing,
         wall: Callable[[], float],
     ) -> None:
         self.member = member
-        self.outside = outside
+        self.platform_clients = platform_clients
         self.peers = peers
         self.wall = wall
         self.metrics = WorkMetrics()
@@ -96,69 +100,74 @@
         self._suspend_detector = SuspendWatch()
         self._background_tasks: set[asyncio.Task[None]] = set()
         now = asyncio.get_running_loop().time
-        self.calls = Calls(peers, member.incarnation << 20)
+        self.peer_calls = PeerCalls(peers, member.incarnation << 20)
         self.store = RelayStore(
-            outside.store, self.calls, lambda: self.members.reaches_store(now())
+            platform_clients.store,
+            self.peer_calls,
+            lambda: self.members.members_reaching_store(now()),
         )
-        self.store.returned = self._on_store_recovered
-        self.watch = StoreWatch(
-            outside.store,
+        self.store.on_recovered = self._on_store_recovered
+        self.store_probe = StoreProbe(
+            platform_clients.store,
             MEMBERS_TOPIC,
-            lambda: self.store.answered_at,
-            self.store.answered,
+            lambda: self.store.direct_answer_at,
+            self.store.record_direct_answer,
         )
-        self.lines = AdviceLines(
-            member.node, outside.advisor, self.calls, lambda: self.members.alive(now())
+        self.advisor_channels = AdvisorChannels(
+            member.node,
+            platform_clients.advisor,
+            self.peer_calls,
+            lambda: self.members.live_members(now()),
         )
-        self.parts = OwnerParts(
+        self.dependencies = OwnerDependencies(
             member.node,
             member.incarnation,
             self.store,
-            outside.link,
-            self.lines,
+            platform_clients.link,
+            self.advisor_channels,
             timing,
             self.metrics,
             wall,
-            self.members.is_later_life,
+            self.members.has_later_incarnation,
         )
-        self.claims = Claims(
+        self.claim_manager = ClaimManager(
             member,
             self.members,
             peers,
             self.store,
-            self.parts,
+            self.dependencies,
             self.hosts,
             self._send_heartbeats,
         )
-        self.owners = self.claims.owners
-        self.intake = Intake(
+        self.owners = self.claim_manager.owners
+        self.job_writer = JobWriter(
             member.node,
             self.store,
-            self.calls,
+            self.peer_calls,
             self._job_writer_of,
-            lambda node: self.members.answers(node, now()),
-            lambda: self.store.heard_at,
+            lambda node: self.members.is_alive(node, now()),
+            lambda: self.store.last_answer_at,
             self.metrics,
         )
-        self.desk = Desk(
+        self.job_service = JobService(
             member.node,
-            self.intake,
-            self.calls,
+            self.job_writer,
+            self.peer_calls,
             self.owners,
             self._owner_of,
             self._capacities,
             self.metrics,
             wall,
-            lambda: self.store.heard_at,
+            lambda: self.store.last_answer_at,
         )
         peers.receiver = self._receive
         peers.connected = self._connected
         peers.disconnected = self._disconnected
-        decoder = outside.decoder
-        self.setup_follower = Follower(
-            self.store, decoder.setup_topic, self._apply_setups
+        decoder = platform_clients.decoder
+        self.configuration_follower = Follower(
+            self.store, decoder.configuration_topic, self._apply_configurations
         )
-        self.list = Follower(
+        self.hosts_follower = Follower(
             self.store,
             decoder.hosts_topic,
             self._apply_host_list,
@@ -169,20 +178,23 @@
         )
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether this daemon should receive requests from callers."""
-        return self.desk.setup is not None and not self.claims.leaving
+        return (
+            self.job_service.configuration is not None
+            and not self.claim_manager.is_leaving
+        )
 
     def start(self) -> None:
         """Start the daemon's background loops."""
         for coro in (
             self._run_registration(),
-            self.setup_follower.run(),
+            self.configuration_follower.run(),
             self.members_follower.run(),
-            self.list.run(),
-            self.watch.run(),
+            self.hosts_follower.run(),
+            self.store_probe.run(),
             self._run_heartbeats(),
-            self.claims.run(),
+            self.claim_manager.run(),
         ):
             task = asyncio.get_running_loop().create_task(_log_unexpected_error(coro))
             self._tasks.append(task)
@@ -197,21 +209,23 @@
             no other daemon could claim them, and the leases of their hosts would
             expire.
         """
-        self.claims.leaving = True
+        self.claim_manager.is_leaving = True
         self._send_heartbeats()
         try:
             async with asyncio.timeout(store_wait):
-                while self.claims.pools and not await self._is_store_reachable():
+                while self.claim_manager.pools and not await self._is_store_reachable():
                     await asyncio.sleep(DRAIN_POLL_INTERVAL)
         except TimeoutError:
             log.warning(
                 "daemon: store did not answer in time; releasing the pools and stopping"
             )
-        await self.claims.give_up_all()
+        await self.claim_manager.release_all()
 
     async def _is_store_reachable(self) -> bool:
         try:
-            await self.store.read(MEMBERS_TOPIC, self.members_follower.next, wait=0.0)
+            await self.store.read(
+                MEMBERS_TOPIC, self.members_follower.next_offset, wait=0.0
+            )
         except SiskinroadError as exc:
             log.info(
                 "daemon: store does not answer; keeping the pools while draining",
@@ -222,8 +236,8 @@
 
     async def close(self) -> None:
         """Stop every loop immediately, without releasing the pools."""
-        self.intake.close()
-        await self.claims.close()
+        self.job_writer.close()
+        await self.claim_manager.close()
         tasks = [*self._tasks, *self._background_tasks]
         for task in tasks:
             task.cancel()
@@ -247,16 +261,18 @@
                 continue
             return
 
-    def _apply_members(self, items: tuple[Newest, ...], is_snapshot: bool) -> None:
+    def _apply_members(
+        self, items: tuple[NewestRecord, ...], is_snapshot: bool
+    ) -> None:
         if is_snapshot:
             self.members.forget_all_but({item.key for item in items})
         for item in items:
             if item.value:
                 self._apply_member_record(item)
 
-    def _apply_member_record(self, item: Newest) -> None:
+    def _apply_member_record(self, item: NewestRecord) -> None:
         try:
-            member = unpack(item.value)
+            member = decode_stored(item.value)
         except SiskinroadError as exc:
             log.error(
                 "daemon: member record cannot be decoded; ignoring it",
@@ -268,7 +284,7 @@
 
     def _register_member(self, member: Member) -> None:
         """Register a member found in the store or introduced by its own message."""
-        if member.node == self.member.node or not self.members.learn(member):
+        if member.node == self.member.node or not self.members.add_member(member):
             return
         self._register_address(member)
         log.info(
@@ -291,69 +307,88 @@
                     "daemon: process was suspended; owners must confirm their claims"
                 )
                 for owner in self.owners.values():
-                    owner.revoke_right()
+                    owner.revoke_confirmation()
             self._send_heartbeats()
-            await asyncio.sleep(OWNER_BEAT_TIME if self.claims.pools else BEAT_TIME)
+            await asyncio.sleep(
+                OWNER_HEARTBEAT_INTERVAL
+                if self.claim_manager.pools
+                else HEARTBEAT_INTERVAL
+            )
 
-    def _make_heartbeat(self) -> Beat:
+    def _make_heartbeat(self) -> Heartbeat:
         now = asyncio.get_running_loop().time()
         owned = tuple((pool, owner.term.number) for pool, owner in self.owners.items())
-        age = round(now - self.store.answered_at, 1)
-        return Beat(
+        age = round(now - self.store.direct_answer_at, 1)
+        return Heartbeat(
             self.member.node,
             self.member.incarnation,
             owned,
             age,
-            self.claims.leaving,
-            self.claims.able,
-            round(self.lines.backlog(now), 2),
-            self.claims.claiming,
+            self.claim_manager.is_leaving,
+            self.claim_manager.can_claim,
+            round(self.advisor_channels.backlog(now), 2),
+            self.claim_manager.claiming,
         )
 
     def _send_heartbeats(self) -> None:
         heartbeat = self._make_heartbeat()
-        for node in self.members.others():
+        for node in self.members.other_members():
             self.peers.send(node, heartbeat)
 
     def _on_store_recovered(self) -> None:
         log.warning("daemon: store answers again; restarting pending reads")
-        self.claims.store_returned()
-        followers = [self.setup_follower, self.list, self.members_follower]
+        self.claim_manager.note_store_recovered()
+        followers = [
+            self.configuration_follower,
+            self.hosts_follower,
+            self.members_follower,
+        ]
         followers += [owner.follower for owner in self.owners.values()]
         for follower in followers:
-            follower.nudge()
+            follower.restart_read()
 
     # Configuration and hosts
 
-    def _apply_setups(self, items: tuple[Newest, ...], is_snapshot: bool) -> None:
+    def _apply_configurations(
+        self, items: tuple[NewestRecord, ...], is_snapshot: bool
+    ) -> None:
         for item in items:
-            setup = self.outside.decoder.setup(item.key, item.value)
-            if setup is not None:
-                self._activate_setup(setup)
+            configuration = self.platform_clients.decoder.decode_configuration(
+                item.key, item.value
+            )
+            if configuration is not None:
+                self._activate_configuration(configuration)
 
-    def _activate_setup(self, setup: Setup) -> None:
-        known = self.desk.setup
-        if known is not None and setup.version <= known.version:
+    def _activate_configuration(self, configuration: Configuration) -> None:
+        known = self.job_service.configuration
+        if known is not None and configuration.version <= known.version:
             return
-        self.desk.setup = self.claims.setup = setup
+        self.job_service.configuration = self.claim_manager.configuration = (
+            configuration
+        )
         log.info(
             "daemon: configuration applied",
-            extra={"version": setup.version, "queues": len(setup.queues)},
+            extra={
+                "version": configuration.version,
+                "queues": len(configuration.queues),
+            },
         )
         for owner in self.owners.values():
-            owner.configure(setup)
+            owner.configure(configuration)
 
-    def _apply_host_list(self, items: tuple[Newest, ...], is_snapshot: bool) -> None:
+    def _apply_host_list(
+        self, items: tuple[NewestRecord, ...], is_snapshot: bool
+    ) -> None:
         if is_snapshot:
             self.hosts.clear()
         for item in items:
-            entry = self.outside.decoder.host(item.key, item.value)
+            entry = self.platform_clients.decoder.decode_host(item.key, item.value)
             if entry is None:
                 self.hosts.pop(item.key, None)
             else:
                 self.hosts[item.key] = entry
         for owner in self.owners.values():
-            owner.hosts_listed(self.hosts)
+            owner.apply_host_list(self.hosts)
 
     def _owner_of(self, pool: str) -> str | None:
         """Return the daemon that owns a pool, which may be this one."""
@@ -366,12 +401,16 @@
         owner = self._owner_of(pool)
         if owner is not None:
             return owner
-        if pool in self.claims.pools:
+        if pool in self.claim_manager.pools:
             return self.member.node
         now = asyncio.get_running_loop().time()
         # A draining daemon never selects itself: the others no longer select it either.
-        age = float("inf") if self.claims.leaving else now - self.store.answered_at
-        return self.members.gatherer(pool, now, age)
+        age = (
+            float("inf")
+            if self.claim_manager.is_leaving
+            else now - self.store.direct_answer_at
+        )
+        return self.members.job_writer(pool, now, age)
 
     def _capacities(self, pool: str) -> list[Resources]:
         return [e.capacity for e in self.hosts.values() if e.pool == pool]
@@ -381,11 +420,11 @@
     def _receive(self, peer: str, msg: Any) -> None:
         now = asyncio.get_running_loop().time()
         match msg:
-            case Beat():
-                self.members.hear(msg, now)
-                self.lines.heard(msg.node, msg.backlog, now)
-                if msg.leaving:
-                    self.claims.wanted.set()
+            case Heartbeat():
+                self.members.record_heartbeat(msg, now)
+                self.advisor_channels.record_backlog(msg.node, msg.backlog, now)
+                if msg.is_leaving:
+                    self.claim_manager.check_requested.set()
                 self._check_for_later_terms(msg)
             case Hello():
                 self._register_member(
@@ -397,23 +436,23 @@
                         msg.region,
                     )
                 )
-            case JobAnswer() | AdviceReply() | RelayReply() | SubmitReply():
-                self.calls.answered(msg.id, msg)
+            case JobReply() | AdviceReply() | RelayReply() | SubmitReply():
+                self.peer_calls.handle_reply(msg.id, msg)
             case SubmitRequest():
-                self._reply_when_done(peer, self.intake.accept(msg))
-            case JobQuestion():
-                self._reply_when_done(peer, self.desk.answer(msg))
+                self._reply_when_done(peer, self.job_writer.accept(msg))
+            case JobRequest():
+                self._reply_when_done(peer, self.job_service.handle_request(msg))
             case AdviceRequest():
-                self._reply_when_done(peer, self.lines.answer(msg))
+                self._reply_when_done(peer, self.advisor_channels.serve(msg))
             case RelayRequest():
                 self._reply_when_done(peer, self.store.serve(msg))
 
-    def _check_for_later_terms(self, heartbeat: Beat) -> None:
+    def _check_for_later_terms(self, heartbeat: Heartbeat) -> None:
         """Make an owner recheck its claim if a peer reports a later term."""
         for pool, term in heartbeat.owned:
             owner = self.owners.get(pool)
             if owner is not None and term > owner.term.number:
-                owner.doubt()
+                owner.recheck_claims()
 
     def _disconnected(self, peer: str) -> None:
         """Check whether a peer whose connection has closed is still running.
@@ -421,26 +460,31 @@
         Without this check, urgent work of a killed owner waits until its
         heartbeats time out.
         """
-        if peer in self.members.heard:
+        if peer in self.members.last_heartbeats:
             self._run_in_background(self._check_peer(peer))
 
     async def _check_peer(self, peer: str) -> None:
-        heard = self.members.heard.get(peer)
+        last_heartbeat = self.members.last_heartbeats.get(peer)
         reach = await self.peers.probe(peer)
-        if reach is not Reach.REFUSES or self.members.heard.get(peer) != heard:
+        if (
+            reach is not Reach.REFUSES
+            or self.members.last_heartbeats.get(peer) != last_heartbeat
+        ):
             return
         now = asyncio.get_running_loop().time()
-        owned = heard.beat.owned if heard is not None else ()
+        owned = last_heartbeat.heartbeat.owned if last_heartbeat is not None else ()
         log.warning(
             "daemon: peer refuses connections; its process has ended",
             extra={
                 "peer": peer,
-                "silent_s": round(now - heard.at, 2) if heard else None,
+                "silent_s": round(now - last_heartbeat.at, 2)
+                if last_heartbeat
+                else None,
                 "pools": [pool for pool, _ in owned],
             },
         )
-        self.members.ended(peer, now)
-        self.claims.wanted.set()
+        self.members.note_ended(peer, now)
+        self.claim_manager.check_requested.set()
 
     def _run_in_background(self, coro: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(_log_unexpected_error(coro))
--- a/siskinroad/work/effects.py
+++ b/siskinroad/work/effects.py
@@ -6,7 +6,14 @@
 
 from siskinroad.work.host import Run
 
-__all__ = ["AskAdvice", "Effect", "PaceRun", "SettleHost", "StartRun", "StopRun"]
+__all__ = [
+    "Effect",
+    "ReconcileHost",
+    "RequestAdvice",
+    "StartRun",
+    "StopRun",
+    "ThrottleRun",
+]
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,7 +37,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class PaceRun:
+class ThrottleRun:
     """Request to throttle a run to ``percent`` of its full speed."""
 
     host: str
@@ -39,8 +46,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class SettleHost:
-    """Request to settle a host: reconcile its runs with the owner's view.
+class ReconcileHost:
+    """Request to reconcile a host's runs with the owner's view.
 
     The host is asked at once, with its raised token, what it runs.
     """
@@ -49,7 +56,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class AskAdvice:
+class RequestAdvice:
     """Request for advice on which hosts a step may use.
 
     ``duration`` is the expected time of the request in seconds.
@@ -60,4 +67,4 @@
     duration: float
 
 
-Effect = StartRun | StopRun | PaceRun | SettleHost | AskAdvice
+Effect = StartRun | StopRun | ThrottleRun | ReconcileHost | RequestAdvice
--- a/siskinroad/work/orders.py
+++ b/siskinroad/work/host_commands.py
@@ -6,12 +6,18 @@
 import logging
 
 from siskinroad.errors import NotSentError, OutcomeUnknownError, SiskinroadError
-from siskinroad.work.effects import AskAdvice, Effect, PaceRun, StartRun, StopRun
+from siskinroad.work.effects import (
+    Effect,
+    RequestAdvice,
+    StartRun,
+    StopRun,
+    ThrottleRun,
+)
 from siskinroad.work.host import Host, Run
-from siskinroad.work.hosts import Order, Rejection, StartOrder
+from siskinroad.work.hosts import HostCommand, Rejection, StartCommand
 from siskinroad.work.term import Term
 
-__all__ = ["Orders", "report_higher_token"]
+__all__ = ["HostCommands", "report_higher_token"]
 
 # Seconds for one command, enough for a round trip between regions to a loaded host.
 COMMAND_TIMEOUT = 0.5
@@ -22,20 +28,21 @@
 # Seconds before another advice request after one that failed.
 ADVICE_RETRY_INTERVAL = 0.05
 
-log = logging.getLogger("siskinroad.orders")
+log = logging.getLogger("siskinroad.host_commands")
 
 
 def report_higher_token(term: Term, host: Host) -> None:
     """Report that a host has seen a higher token than this owner ever sent to it."""
     log.warning(
-        "orders: host rejected the token; it has accepted another owner's higher one",
+        "host_commands: host rejected the token; "
+        "it has accepted another owner's higher one",
         extra={"host": host.name, "pool": term.pool, "token": host.token},
     )
-    host.call_failed()
-    term.doubted()
+    host.record_failed_request()
+    term.on_ownership_uncertain()
 
 
-class Orders:
+class HostCommands:
     """A command sender that reports the hosts' replies to the pool state."""
 
     def __init__(self, term: Term) -> None:
@@ -52,27 +59,29 @@
 
     async def start(self, effect: StartRun) -> None:
         """Send a start with the host's token at the time of sending."""
-        host = self.term.book.hosts.get(effect.host)
+        host = self.term.pool_state.hosts.get(effect.host)
         if host is None:
             return
         loop = asyncio.get_running_loop()
         async with self._semaphore(host.name):
             now = loop.time()
-            if not self.term.book.may_send(host, effect.run):
-                self.term.carry_out(self.term.book.start_dropped(host, effect.run, now))
+            if not self.term.pool_state.may_send(host, effect.run):
+                self.term.execute_effects(
+                    self.term.pool_state.drop_start(host, effect.run, now)
+                )
                 return
             until = host.lease_until(now)
-            if until is None or not self.term.may_act():
-                self.term.carry_out(
-                    self.term.book.start_not_sent(host, effect.run, now)
+            if until is None or not self.term.is_owner_confirmed():
+                self.term.execute_effects(
+                    self.term.pool_state.note_start_not_sent(host, effect.run, now)
                 )
                 return
             # The token may have been raised since the effect was created, and the host
             # would reject the old one.
             effect.run.token = host.token
-            host.granted(now)
+            host.extend_lease_expiry(now)
             task, number = effect.run.key
-            command = StartOrder(
+            command = StartCommand(
                 host.name,
                 host.entry.address,
                 host.token,
@@ -84,35 +93,37 @@
                 effect.ticket,
             )
             effects = await self._send_start(host, effect.run, command)
-        self.term.carry_out(effects)
+        self.term.execute_effects(effects)
         self.term.plan_wanted.set()
 
     async def _send_start(
-        self, host: Host, run: Run, command: StartOrder
+        self, host: Host, run: Run, command: StartCommand
     ) -> list[Effect]:
         loop = asyncio.get_running_loop()
         sent_at = loop.time()
         outcome = "started"
         try:
-            async with asyncio.timeout(host.patience()):
-                reply = await self.term.parts.link.start(command)
+            async with asyncio.timeout(host.reply_timeout_s()):
+                reply = await self.term.dependencies.link.start(command)
         except NotSentError as exc:
             outcome = f"not sent: {exc}"
-            effects = self.term.book.start_not_sent(host, run, loop.time())
-            host.call_failed()
+            effects = self.term.pool_state.note_start_not_sent(host, run, loop.time())
+            host.record_failed_request()
         except (OutcomeUnknownError, TimeoutError) as exc:
             outcome = f"unknown: {exc}"
-            host.answered_in(loop.time() - sent_at)
-            effects = self.term.book.start_unanswered(host, run, loop.time())
-            host.call_failed()
+            host.record_reply_time(loop.time() - sent_at)
+            effects = self.term.pool_state.note_start_without_reply(
+                host, run, loop.time()
+            )
+            host.record_failed_request()
         else:
-            host.answered_in(loop.time() - sent_at)
+            host.record_reply_time(loop.time() - sent_at)
             effects = self._handle_start_reply(host, run, command, reply.rejection)
             if reply.rejection is not None:
                 outcome = reply.rejection.value
-        self.term.parts.metrics.starts.labels(outcome.partition(":")[0]).inc()
+        self.term.dependencies.metrics.starts.labels(outcome.partition(":")[0]).inc()
         log.info(
-            "orders: start",
+            "host_commands: start command",
             extra={
                 "request": command.task.job,
                 "task": (
@@ -130,23 +141,23 @@
         return effects
 
     def _handle_start_reply(
-        self, host: Host, run: Run, command: StartOrder, rejection: Rejection | None
+        self, host: Host, run: Run, command: StartCommand, rejection: Rejection | None
     ) -> list[Effect]:
         now = asyncio.get_running_loop().time()
         if rejection is Rejection.FENCED and command.token >= host.token:
             report_higher_token(self.term, host)
-        if rejection is Rejection.UNWELL:
-            host.call_failed()
-        if rejection is Rejection.OTHER_LIFE:
-            self.term.book.host_unlisted(host.name, now)
-            host.call_failed()
-        return self.term.book.start_answered(host, run, rejection, now)
+        if rejection is Rejection.UNAVAILABLE:
+            host.record_failed_request()
+        if rejection is Rejection.OTHER_INCARNATION:
+            self.term.pool_state.note_host_unlisted(host.name, now)
+            host.record_failed_request()
+        return self.term.pool_state.apply_start_reply(host, run, rejection, now)
 
     async def stop(self, effect: StopRun) -> None:
         """Send a stop, repeated until it is answered or the run has ended."""
         task, number = effect.run.key
         while True:
-            host = self.term.book.hosts.get(effect.host)
+            host = self.term.pool_state.hosts.get(effect.host)
             if host is None:
                 return
             async with self._semaphore(host.name):
@@ -156,7 +167,7 @@
                 command = self._make_command(host, effect.run)
                 outcome, is_final = await self._send_stop(command)
             log.info(
-                "orders: stop",
+                "host_commands: stop command",
                 extra={
                     "request": task.job,
                     "task": f"{task.occurrence}.{task.step}.{task.index}",
@@ -171,39 +182,39 @@
                 return
             await asyncio.sleep(STOP_RETRY_INTERVAL)
 
-    async def _send_stop(self, command: Order) -> tuple[str, bool]:
+    async def _send_stop(self, command: HostCommand) -> tuple[str, bool]:
         """Send one stop; return its outcome and whether it is final."""
         try:
             async with asyncio.timeout(COMMAND_TIMEOUT):
-                reply = await self.term.parts.link.stop(command)
+                reply = await self.term.dependencies.link.stop(command)
         except (NotSentError, OutcomeUnknownError, TimeoutError) as exc:
             return f"unknown: {exc}", False
         if reply.rejection is None:
             return "sent", True
-        host = self.term.book.hosts.get(command.host)
+        host = self.term.pool_state.hosts.get(command.host)
         is_superseded = host is not None and command.token < host.token
         is_retryable = reply.rejection is Rejection.FENCED and is_superseded
         return reply.rejection.value, not is_retryable
 
-    def _make_command(self, host: Host, run: Run) -> Order:
+    def _make_command(self, host: Host, run: Run) -> HostCommand:
         task, number = run.key
-        return Order(host.name, host.entry.address, host.token, task, number)
+        return HostCommand(host.name, host.entry.address, host.token, task, number)
 
-    async def pace(self, effect: PaceRun) -> None:
+    async def throttle(self, effect: ThrottleRun) -> None:
         """Throttle a run; if there is no answer, the monitor decides again later."""
-        host = self.term.book.hosts.get(effect.host)
+        host = self.term.pool_state.hosts.get(effect.host)
         if host is None:
             return
         outcome = "sent"
         try:
             async with self._semaphore(host.name), asyncio.timeout(COMMAND_TIMEOUT):
                 command = self._make_command(host, effect.run)
-                await self.term.parts.link.pace(command, effect.percent)
+                await self.term.dependencies.link.throttle(command, effect.percent)
         except (NotSentError, OutcomeUnknownError, TimeoutError) as exc:
             outcome = f"unknown: {exc}"
-            effect.run.pace = -1
+            effect.run.speed_percent = -1
         log.info(
-            "orders: throttle",
+            "host_commands: throttle command",
             extra={
                 "request": effect.run.key[0].job,
                 "host": host.name,
@@ -212,23 +223,23 @@
             },
         )
 
-    async def ask(self, effect: AskAdvice) -> None:
+    async def request_advice(self, effect: RequestAdvice) -> None:
         """Request advice and store the tickets that it grants to the step."""
         loop = asyncio.get_running_loop()
-        step = self.term.book.step_by_key(effect.step)
+        step = self.term.pool_state.step_by_key(effect.step)
         if step is None:
             return
         try:
-            advised = await self.term.parts.lines.ask(
+            result = await self.term.dependencies.advisor_channels.request_advice(
                 effect.step, effect.hosts, effect.duration
             )
         except SiskinroadError:
-            self.term.parts.metrics.retries.labels("advice").inc()
+            self.term.dependencies.metrics.retries.labels("advice").inc()
             await asyncio.sleep(ADVICE_RETRY_INTERVAL)
         else:
-            until = loop.time() + advised.valid
-            step.asked.update(effect.hosts)
-            for host, ticket in advised.tickets.items():
+            until = loop.time() + result.valid
+            step.asked_hosts.update(effect.hosts)
+            for host, ticket in result.tickets.items():
                 step.tickets[host] = (ticket, until)
-        step.asking = False
+        step.is_advice_pending = False
         self.term.plan_wanted.set()
--- a/siskinroad/work/messages.py
+++ b/siskinroad/work/messages.py
@@ -12,10 +12,10 @@
     "CODEC",
     "AdviceReply",
     "AdviceRequest",
-    "Beat",
+    "Heartbeat",
     "Hello",
-    "JobAnswer",
-    "JobQuestion",
+    "JobReply",
+    "JobRequest",
     "Message",
     "RelayReply",
     "RelayRequest",
@@ -27,7 +27,7 @@
 ]
 
 
-class Beat(msgspec.Struct, tag="beat", frozen=True, array_like=True):
+class Heartbeat(msgspec.Struct, tag="beat", frozen=True, array_like=True):
     """Heartbeat that every daemon sends to every other one.
 
     Attributes
@@ -36,9 +36,9 @@
         Name and term of each pool that the sender owns.
     store_age : float
         Seconds since the store last replied to the sender.
-    leaving : bool
+    is_leaving : bool
         Whether the sender is about to stop.
-    able : bool
+    can_claim : bool
         Whether the sender has been up for long enough to claim a pool.
     backlog : float
         Backlog in seconds of the sender's channel to the advisor.
@@ -50,8 +50,8 @@
     incarnation: int
     owned: tuple[tuple[str, int], ...]
     store_age: float
-    leaving: bool
-    able: bool
+    is_leaving: bool
+    can_claim: bool
     backlog: float = 0.0
     claiming: tuple[str, ...] = ()
 
@@ -70,7 +70,7 @@
     region: str
 
 
-class JobQuestion(msgspec.Struct, tag="job?", frozen=True, array_like=True):
+class JobRequest(msgspec.Struct, tag="job?", frozen=True, array_like=True):
     """Request to a pool's owner about a job or a queue.
 
     ``verb`` is ``show`` for a job's state, ``cancel`` to cancel a job, or ``pending``
@@ -84,15 +84,15 @@
     subject: str
 
 
-class JobAnswer(msgspec.Struct, tag="job!", frozen=True, array_like=True):
-    """Reply to a ``JobQuestion``.
+class JobReply(msgspec.Struct, tag="job!", frozen=True, array_like=True):
+    """Reply to a ``JobRequest``.
 
-    ``state`` is empty if there is no such job. ``unsure`` is the reason why the sender
-    cannot tell; it is empty if it can.
+    ``state`` is empty if there is no such job. ``unknown_reason`` is the reason why the
+    sender cannot tell; it is empty if it can.
     """
 
     id: int
-    unsure: str
+    unknown_reason: str
     state: str
     pending: int
 
@@ -108,14 +108,14 @@
 class SubmitRequest(msgspec.Struct, tag="submit?", frozen=True, array_like=True):
     """Request to the pool's job writer to store a record.
 
-    ``left`` is the time in seconds for which the caller still waits.
+    ``remaining_s`` is the time in seconds for which the caller still waits.
     """
 
     id: int
     pool: str
     key: str
     value: bytes
-    left: float
+    remaining_s: float
 
 
 class SubmitReply(msgspec.Struct, tag="submit!", frozen=True, array_like=True):
@@ -166,19 +166,19 @@
     """Reply to a ``RelayRequest``.
 
     ``outcome`` is ``answered``, ``not done`` if the call failed without effect, or
-    ``unknown``. ``answer`` is the encoded result, empty unless answered.
+    ``unknown``. ``result`` is the encoded result, empty unless answered.
     """
 
     id: int
     outcome: str
-    answer: bytes
+    result: bytes
 
 
 Message = (
-    Beat
+    Heartbeat
     | Hello
-    | JobQuestion
-    | JobAnswer
+    | JobRequest
+    | JobReply
     | AdviceRequest
     | AdviceReply
     | RelayRequest
--- a/siskinroad/work/model.py
+++ b/siskinroad/work/model.py
@@ -10,10 +10,10 @@
 
 __all__ = [
     "Advice",
+    "Configuration",
     "HostEntry",
     "JobSpec",
     "Queue",
-    "Setup",
     "Step",
     "TaskId",
     "Timing",
@@ -157,9 +157,9 @@
     max_attempts : int
         Maximum number of runs of one task that may fail through its own fault.
     slack : float
-        Multiple of the job's expected length that its objective allows.
+        Multiple of the job's expected length that its target time allows.
     target : float
-        Seconds that the objective allows in addition.
+        Seconds that the target time allows in addition.
     """
 
     name: str
@@ -175,7 +175,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Setup:
+class Configuration:
     """Version of the operators' configuration."""
 
     version: int
@@ -183,7 +183,7 @@
     pools: tuple[str, ...]
     max_body: int
 
-    def find(self, virtual_host: str, path: str) -> Queue | None:
+    def find_queue(self, virtual_host: str, path: str) -> Queue | None:
         """Return the queue with the longest prefix that matches ``path``."""
         best: Queue | None = None
         for queue in self.queues:
@@ -213,7 +213,7 @@
         The host is about to leave and accepts no new work.
     rack : str
         The host's rack.
-    stays : float
+    min_stay_s : float
         Minimum seconds for which a draining host stays; 0 if unknown.
     """
 
@@ -225,7 +225,7 @@
     capacity: Resources
     labels: frozenset[str]
     rack: str
-    stays: float = 0.0
+    min_stay_s: float = 0.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -236,10 +236,10 @@
     several racks.
     """
 
-    max_lease: float = 10.0
-    stop_grace: float = 1.0
-    gang_wait: float = 3.0
-    status_kept: float = 120.0
-    drain: float = 2.5
+    max_lease_s: float = 10.0
+    stop_grace_s: float = 1.0
+    gang_wait_s: float = 3.0
+    status_kept_s: float = 120.0
+    drain_s: float = 2.5
     remote_factor: float = 2.0
-    pace_delay: float = 0.1
+    throttle_delay_s: float = 0.1
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -6,34 +6,34 @@
 import logging
 
 from siskinroad.errors import SiskinroadError
-from siskinroad.work.claim import Inheritance, release_pool
+from siskinroad.work.claim import InheritedState, release_pool
 from siskinroad.work.effects import (
-    AskAdvice,
     Effect,
-    PaceRun,
-    SettleHost,
+    ReconcileHost,
+    RequestAdvice,
     StartRun,
     StopRun,
+    ThrottleRun,
 )
-from siskinroad.work.follow import Follower
-from siskinroad.work.holds import Holds
-from siskinroad.work.host import LEASE_TIME
-from siskinroad.work.model import HostEntry, Setup
-from siskinroad.work.orders import Orders
+from siskinroad.work.follower import Follower
+from siskinroad.work.host import LEASE_S
+from siskinroad.work.host_commands import HostCommands
+from siskinroad.work.lease_renewer import LeaseRenewer
+from siskinroad.work.model import Configuration, HostEntry
 from siskinroad.work.planner import Planner
-from siskinroad.work.progress import Deposed, ProgressLog
+from siskinroad.work.progress import OwnershipLostError, ProgressLog
 from siskinroad.work.records import (
     OWNER_KEY,
     Accepted,
     Cancelled,
+    decode_stored,
     job_topic,
-    unpack,
 )
-from siskinroad.work.steward import Steward
-from siskinroad.work.store import Newest, StoreUnknownError
-from siskinroad.work.term import RIGHT_TIME, OwnerParts, Term
+from siskinroad.work.run_monitor import RunMonitor
+from siskinroad.work.store import NewestRecord, StoreUnknownError
+from siskinroad.work.term import OWNERSHIP_TIMEOUT_S, OwnerDependencies, Term
 
-__all__ = ["Deposed", "PoolOwner"]
+__all__ = ["OwnershipLostError", "PoolOwner"]
 
 # Seconds between two checks of everything that depends on time.
 TICK_INTERVAL = 0.2
@@ -55,55 +55,61 @@
 
     Parameters
     ----------
-    inherited : Inheritance
+    inherited : InheritedState
         The state that the claim found in the store.
     """
 
     def __init__(
-        self, pool: str, parts: OwnerParts, inherited: Inheritance, setup: Setup
+        self,
+        pool: str,
+        dependencies: OwnerDependencies,
+        inherited: InheritedState,
+        configuration: Configuration,
     ) -> None:
         self.pool = pool
-        self.parts = parts
-        self.term = Term(pool, inherited.term, parts)
-        self.term.carry_out = self._carry_out
-        self.term.doubted = self.doubt
-        self.book = self.term.book
-        self.book.configure(setup)
-        self.planner = Planner(self.book)
-        self.steward = Steward(self.book, parts.timing)
+        self.dependencies = dependencies
+        self.term = Term(pool, inherited.term, dependencies)
+        self.term.execute_effects = self._execute_effects
+        self.term.on_ownership_uncertain = self.recheck_claims
+        self.pool_state = self.term.pool_state
+        self.pool_state.configure(configuration)
+        self.planner = Planner(self.pool_state)
+        self.run_monitor = RunMonitor(self.pool_state, dependencies.timing)
         self.progress = ProgressLog(self.term, inherited.hosts)
-        self.orders = Orders(self.term)
-        self.holds = Holds(self.term, self.progress)
+        self.host_commands = HostCommands(self.term)
+        self.lease_renewer = LeaseRenewer(self.term, self.progress)
         self._rechecked_at = -1e9
         self.former = inherited.former
-        self._former_alone = inherited.former_alone
-        self._former_released = inherited.released_term >= inherited.former_term
+        self._is_former_sole_owner = inherited.is_former_sole_owner
+        self._is_former_released = inherited.released_term >= inherited.former_term
         self._load_inherited(inherited)
-        self.follower = Follower(parts.store, job_topic(pool), self._apply_records)
-        self.follower.next = inherited.next
+        self.follower = Follower(
+            dependencies.store, job_topic(pool), self._apply_records
+        )
+        self.follower.next_offset = inherited.next_offset
         # The claim has read every record before its own.
         self.follower.confirmed_at = asyncio.get_running_loop().time()
 
-    def _load_inherited(self, inherited: Inheritance) -> None:
+    def _load_inherited(self, inherited: InheritedState) -> None:
         loop = asyncio.get_running_loop()
-        now, wall = loop.time(), self.parts.wall()
-        book = self.book
+        now, wall = loop.time(), self.dependencies.wall()
+        pool_state = self.pool_state
         if inherited.former is None:
-            book.settled = True
+            pool_state.settled = True
         else:
-            book.settled = False
+            pool_state.settled = False
             names = inherited.hosts.names if inherited.hosts else ()
-            book.expect_hosts(names, now + RIGHT_TIME + LEASE_TIME * 1.1)
+            pool_state.expect_hosts(names, now + OWNERSHIP_TIMEOUT_S + LEASE_S * 1.1)
             self._check_former_owner(now)
         for accepted in inherited.accepted.values():
-            book.accept(accepted, now, wall, fresh=False)
+            pool_state.accept(accepted, now, wall, is_new=False)
         for progress in inherited.progress.values():
-            book.restore(progress, now)
+            pool_state.restore(progress, now)
         for job_id in inherited.cancelled:
-            book.cancel(job_id, now, wall)
-        self.term.right_until = inherited.claimed_at + RIGHT_TIME
+            pool_state.cancel(job_id, now, wall)
+        self.term.owned_until = inherited.claimed_at + OWNERSHIP_TIMEOUT_S
         log.info(
-            "owner: begins its term",
+            "owner: term started",
             extra={
                 "pool": self.pool,
                 "term": self.term.number,
@@ -116,11 +122,11 @@
     def _check_former_owner(self, now: float) -> None:
         """Shorten the wait for silent hosts once the former owner has stopped."""
         former = self.former
-        if former is None or not self._former_alone:
+        if former is None or not self._is_former_sole_owner:
             return
-        later = self.parts.is_later_life(former.node, former.incarnation)
-        if self._former_released or later:
-            self.book.former_gone(now + LEASE_TIME * 1.1)
+        later = self.dependencies.has_later_incarnation(former.node, former.incarnation)
+        if self._is_former_released or later:
+            self.pool_state.note_former_owner_dead(now + LEASE_S * 1.1)
             self.former = None
 
     # Lifecycle
@@ -130,7 +136,7 @@
 
         Raises
         ------
-        Deposed
+        OwnershipLostError
             Another daemon has claimed the pool.
         """
         try:
@@ -140,7 +146,7 @@
                 group.create_task(self._run_planning())
                 group.create_task(self.progress.run())
                 group.create_task(self._run_ticks())
-        except* Deposed as excs:
+        except* OwnershipLostError as excs:
             raise excs.exceptions[0] from None
         finally:
             self.term.group = None
@@ -149,7 +155,7 @@
         """Store unrecorded progress and release the pool; call this after ``run``."""
         extra = {"pool": self.pool, "term": self.term.number}
         try:
-            while self.progress.due:
+            while self.progress.has_unstored_changes:
                 await self.progress.flush()
         except SiskinroadError as exc:
             # The next owner may have fenced this term already.
@@ -158,74 +164,76 @@
                 extra={**extra, "error": str(exc)},
             )
         try:
-            await release_pool(self.parts.store, self.pool, self.term.number)
+            await release_pool(self.dependencies.store, self.pool, self.term.number)
         except SiskinroadError as exc:
             log.warning(
                 "owner: release of the pool not stored",
                 extra={**extra, "error": str(exc)},
             )
 
-    def revoke_right(self) -> None:
+    def revoke_confirmation(self) -> None:
         """Stop acting until the claim is confirmed again, as after a suspension."""
-        self.term.right_until = -1e9
+        self.term.owned_until = -1e9
         self.follower.confirmed_at = -1e9
 
-    def doubt(self) -> None:
+    def recheck_claims(self) -> None:
         """Reread the claims now, and stop acting until they are confirmed.
 
         Called when a host has accepted a higher token, or when another daemon
         reports a higher term.
         """
-        self.revoke_right()
+        self.revoke_confirmation()
         now = asyncio.get_running_loop().time()
         if now - self._rechecked_at >= CLAIM_RECHECK_INTERVAL:
             self._rechecked_at = now
-            self.follower.nudge()
+            self.follower.restart_read()
 
     # Updates from the daemon
 
-    def configure(self, setup: Setup) -> None:
+    def configure(self, configuration: Configuration) -> None:
         """Apply a configuration."""
-        self.book.configure(setup)
+        self.pool_state.configure(configuration)
         self.term.plan_wanted.set()
 
-    def hosts_listed(self, entries: dict[str, HostEntry]) -> None:
+    def apply_host_list(self, entries: dict[str, HostEntry]) -> None:
         """Apply the live host list."""
         now = asyncio.get_running_loop().time()
         for entry in entries.values():
             if entry.pool == self.pool:
-                self.book.host_listed(entry, now)
-                self.holds.hold(entry.name)
-        for name in self.book.hosts:
+                self.pool_state.add_or_update_host(entry, now)
+                self.lease_renewer.start_renewing(entry.name)
+        for name in self.pool_state.hosts:
             listed = entries.get(name)
             if listed is None or listed.pool != self.pool:
-                self.book.host_unlisted(name, now)
+                self.pool_state.note_host_unlisted(name, now)
         self.term.plan_wanted.set()
 
     # Accepted jobs
 
-    def _apply_records(self, items: tuple[Newest, ...], is_snapshot: bool) -> None:
+    def _apply_records(
+        self, items: tuple[NewestRecord, ...], is_snapshot: bool
+    ) -> None:
         self._check_claims(items)
         now = asyncio.get_running_loop().time()
-        wall = self.parts.wall()
+        wall = self.dependencies.wall()
         for item in items:
             if item.value:
                 self._apply_record(item, now, wall)
         self.term.plan_wanted.set()
 
-    def _check_claims(self, items: tuple[Newest, ...]) -> None:
+    def _check_claims(self, items: tuple[NewestRecord, ...]) -> None:
         """Raise before any job is accepted that was stored after a later claim."""
         for item in items:
             if item.key == OWNER_KEY and item.offset + 1 > self.term.number:
-                self.term.right_until = -1e9
-                raise Deposed(
+                self.term.owned_until = -1e9
+                raise OwnershipLostError(
                     f"pool claimed by another daemon in term {item.offset + 1}",
                     step="owner",
                 )
 
-    def _apply_record(self, item: Newest, now: float, wall: float) -> None:
+    def _apply_record(self, item: NewestRecord, now: float, wall: float) -> None:
         try:
-            stored = unpack(item.value)
+            stored = decode_stored(item.value)
         except SiskinroadError as exc:
             log.error(
                 "owner: job record cannot be decoded; ignoring it",
@@ -234,13 +242,13 @@
             return
         match stored:
             case Accepted(job=job):
-                known = job in self.book.jobs
-                self.book.accept(
-                    stored, now, wall, fresh=item.offset + 1 > self.term.number
+                known = job in self.pool_state.jobs
+                self.pool_state.accept(
+                    stored, now, wall, is_new=item.offset + 1 > self.term.number
                 )
                 if not known:
                     log.info(
-                        "owner: job taken in",
+                        "owner: job accepted",
                         extra={
                             "request": job,
                             "queue": stored.queue,
@@ -249,8 +257,8 @@
                         },
                     )
             case Cancelled(job=job):
-                self._carry_out(self.book.cancel(job, now, wall))
-                self.term.flush_wanted.set()
+                self._execute_effects(self.pool_state.cancel(job, now, wall))
+                self.term.store_wanted.set()
 
     # Planning
 
@@ -260,44 +268,44 @@
             await self.term.plan_wanted.wait()
             await asyncio.sleep(PLAN_DELAY)
             self.term.plan_wanted.clear()
-            if not self.term.may_act():
+            if not self.term.is_owner_confirmed():
                 continue
-            now, wall = loop.time(), self.parts.wall()
-            lines = self.parts.lines.times(now)
-            self._carry_out(self.planner.plan(now, wall, lines))
+            now, wall = loop.time(), self.dependencies.wall()
+            channels = self.dependencies.advisor_channels.channel_times(now)
+            self._execute_effects(self.planner.plan(now, wall, channels))
 
     async def _run_ticks(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(TICK_INTERVAL)
-            now, wall = loop.time(), self.parts.wall()
-            confirmed = self.follower.confirmed_at + RIGHT_TIME
-            self.term.right_until = max(self.term.right_until, confirmed)
+            now, wall = loop.time(), self.dependencies.wall()
+            confirmed = self.follower.confirmed_at + OWNERSHIP_TIMEOUT_S
+            self.term.owned_until = max(self.term.owned_until, confirmed)
             self._check_former_owner(now)
-            effects = self.book.lapse_silent(now)
-            self.book.settle_tasks(now)
-            self.book.open_due(now, wall, EARLY_START_TIME)
-            effects += self.steward.look(now, wall)
-            self._carry_out(effects)
-            if self.progress.due:
-                self.term.flush_wanted.set()
+            effects = self.pool_state.expire_silent_hosts(now)
+            self.pool_state.settle_tasks(now)
+            self.pool_state.open_due(now, wall, EARLY_START_TIME)
+            effects += self.run_monitor.check_runs(now, wall)
+            self._execute_effects(effects)
+            if self.progress.has_unstored_changes:
+                self.term.store_wanted.set()
             self.term.plan_wanted.set()
 
-    def _carry_out(self, effects: list[Effect]) -> None:
+    def _execute_effects(self, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case StartRun():
-                    self.term.spawn(self.orders.start(effect))
+                    self.term.spawn(self.host_commands.start(effect))
                 case StopRun():
-                    self.term.spawn(self.orders.stop(effect))
-                case PaceRun():
-                    self.term.spawn(self.orders.pace(effect))
-                case SettleHost(host=host):
-                    self.term.spawn(self.holds.settle(host))
-                case AskAdvice():
-                    self.term.spawn(self.orders.ask(effect))
-        if self.book.dirty:
-            self.term.flush_wanted.set()
+                    self.term.spawn(self.host_commands.stop(effect))
+                case ThrottleRun():
+                    self.term.spawn(self.host_commands.throttle(effect))
+                case ReconcileHost(host=host):
+                    self.term.spawn(self.lease_renewer.reconcile(host))
+                case RequestAdvice():
+                    self.term.spawn(self.host_commands.request_advice(effect))
+        if self.pool_state.dirty:
+            self.term.store_wanted.set()
 
     # Requests from callers
 
@@ -309,9 +317,9 @@
         SiskinroadError
             The owner cannot tell, as it has not read the newest records.
         """
-        job = self.book.jobs.get(job_id)
+        job = self.pool_state.jobs.get(job_id)
         if job is not None:
-            return job.shown()
+            return job.shown_state()
         self._require_fresh_records()
         return None
 
@@ -330,16 +338,16 @@
         StoreUnknownError
             The job is cancelled, but that is not stored yet.
         """
-        job = self.book.jobs.get(job_id)
+        job = self.pool_state.jobs.get(job_id)
         if job is None:
             self._require_fresh_records()
             return False
-        if job.recorded:
+        if job.stored_outcome:
             return True
-        now, wall = asyncio.get_running_loop().time(), self.parts.wall()
-        waiter = self.progress.get_recorded_event(job_id)
-        self._carry_out(self.book.cancel(job_id, now, wall))
-        self.term.flush_wanted.set()
+        now, wall = asyncio.get_running_loop().time(), self.dependencies.wall()
+        waiter = self.progress.get_stored_event(job_id)
+        self._execute_effects(self.pool_state.cancel(job_id, now, wall))
+        self.term.store_wanted.set()
         try:
             async with asyncio.timeout(timeout):
                 await waiter.wait()
@@ -349,7 +357,7 @@
             ) from None
         return True
 
-    def pending(self, queue: str) -> int:
+    def count_pending(self, queue: str) -> int:
         """Return the number of accepted jobs of a queue that have not started."""
         self._require_fresh_records()
-        return self.book.pending(queue)
+        return self.pool_state.count_pending(queue)
--- a/siskinroad/work/plan.py
+++ b/siskinroad/work/planning_pass.py
@@ -5,18 +5,18 @@
 from dataclasses import dataclass, field
 
 from siskinroad.resources import Resources
-from siskinroad.work.book import Book
+from siskinroad.work.advisor_channels import ChannelTimes
 from siskinroad.work.effects import Effect
 from siskinroad.work.host import Host
 from siskinroad.work.job import StepRun, Task
-from siskinroad.work.lines import LineTimes
+from siskinroad.work.pool_state import PoolState
 
 __all__ = [
-    "Plan",
-    "Trial",
-    "can_hold",
+    "PlanningPass",
+    "TentativePlacement",
     "compute_available_after_stops",
     "compute_shortfall",
+    "host_can_fit",
     "is_large",
     "step_allows_host",
     "task_avoids_host",
@@ -25,12 +25,12 @@
 # Seconds for which a task is not placed again on a host where it failed.
 AVOID_FAILED_HOST_S = 1.5
 # Fraction of a host from which a task counts as large: gaps of that size are filled by
-# small tasks first, so that a large one may never find room.
+# small tasks first, so that a large one may never fit.
 LARGE_TASK_FRACTION = 0.5
 
 
 @dataclass(slots=True)
-class Plan:
+class PlanningPass:
     """Working state of one planning pass.
 
     Attributes
@@ -41,26 +41,26 @@
         Thousandths of a processor that steps that are not urgent may still take.
     excluded_hosts : set of str
         Hosts that are kept for a blocked large step.
-    renewed : int
+    renewed_steps : int
         Number of blocked steps whose tickets this pass renews.
-    lines : LineTimes or None
+    channels : ChannelTimes or None
         When the advisor channels are free; None if they always are.
     """
 
-    book: Book
+    pool_state: PoolState
     now: float
     wall: float
     hosts: list[Host]
     demand: dict[str, float]
     non_urgent_cpu_milli: float = 0.0
     excluded_hosts: set[str] = field(default_factory=set)
-    renewed: int = 0
-    lines: LineTimes | None = None
+    renewed_steps: int = 0
+    channels: ChannelTimes | None = None
     effects: list[Effect] = field(default_factory=list)
 
 
 @dataclass(slots=True)
-class Trial:
+class TentativePlacement:
     """Tentative placement: hosts chosen for tasks of a step, before any is started.
 
     Attributes
@@ -82,13 +82,13 @@
     may be the only one that is allowed or has free capacity. A speculative copy never
     goes to the host of the older run.
     """
-    if host.name == task.older:
+    if host.name == task.older_run_host:
         return True
-    failed_at = task.avoid.get(host.name)
+    failed_at = task.avoided_hosts.get(host.name)
     return failed_at is not None and now - failed_at < AVOID_FAILED_HOST_S
 
 
-def can_hold(host: Host, step: StepRun) -> bool:
+def host_can_fit(host: Host, step: StepRun) -> bool:
     """Return whether the host, if it were empty, could hold a task of the step."""
     spec = step.spec
     if spec.label and spec.label not in host.entry.labels:
@@ -96,20 +96,22 @@
     return spec.need.fits(host.entry.capacity)
 
 
-def step_allows_host(step: StepRun, host: Host, placement: Trial) -> bool:
+def step_allows_host(step: StepRun, host: Host, placement: TentativePlacement) -> bool:
     """Return whether label and spread let the step place one more task on the host."""
     spec = step.spec
     if spec.label and spec.label not in host.entry.labels:
         return False
     if not spec.spread:
         return True
-    count = step.by_host.get(host.name, 0) + placement.counts.get(host.name, 0)
+    count = step.runs_by_host.get(host.name, 0) + placement.counts.get(host.name, 0)
     return count < spec.spread
 
 
-def is_large(plan: Plan, step: StepRun) -> bool:
+def is_large(planning_pass: PlanningPass, step: StepRun) -> bool:
     """Return whether a task of the step needs a large fraction of some host."""
-    capacities = [host.entry.capacity for host in plan.hosts if can_hold(host, step)]
+    capacities = [
+        host.entry.capacity for host in planning_pass.hosts if host_can_fit(host, step)
+    ]
     return any(
         step.spec.need.dominant(total) >= LARGE_TASK_FRACTION for total in capacities
     )
@@ -117,7 +119,7 @@
 
 def compute_available_after_stops(host: Host, step: StepRun, now: float) -> Resources:
     """Return the free capacity of a host once the runs being stopped have ended."""
-    available = host.free(step.key, now)
+    available = host.free_capacity(step.key, now)
     for run in host.runs.values():
         if run.state in ("stopping", "withdrawn"):
             available = available + run.need
--- a/siskinroad/work/book.py
+++ b/siskinroad/work/pool_state.py
@@ -25,26 +25,26 @@
 
 from siskinroad.work.effects import Effect
 from siskinroad.work.host import Host, Run
-from siskinroad.work.hosts import Ended, EndKind, HostReport, Rejection, Running
+from siskinroad.work.hosts import EndKind, HostReport, Rejection, RunEnd, RunStatus
 from siskinroad.work.job import JobState, StepRun, Task
-from siskinroad.work.runbook import RunBook, label
+from siskinroad.work.run_table import RunTable, format_task_position
 
-__all__ = ["Book"]
+__all__ = ["PoolState"]
 
-log = logging.getLogger("siskinroad.book")
+log = logging.getLogger("siskinroad.pool_state")
 
 
-class Book(RunBook):
+class PoolState(RunTable):
     """Jobs, tasks, hosts and runs of one pool, updated from the hosts' reports."""
 
-    def start_answered(
+    def apply_start_reply(
         self, host: Host, run: Run, rejection: Rejection | None, now: float
     ) -> list[Effect]:
         """Apply a host's reply to a start."""
         if host.runs.get(run.key) is not run or run.state == "over":
             return []
         if rejection is None:
-            run.since = now
+            run.commanded_at = now
             run.move("accept")
             self._mark_begun(host, run, now)
             return []
@@ -61,25 +61,27 @@
         """Return whether a start that is still unsent may be sent."""
         return host.runs.get(run.key) is run and run.state == "ordered"
 
-    def start_dropped(self, host: Host, run: Run, now: float) -> list[Effect]:
+    def drop_start(self, host: Host, run: Run, now: float) -> list[Effect]:
         """End a run whose start was withdrawn before it was sent."""
         if host.runs.get(run.key) is not run or not run.allows("drop"):
             return []
         run.move("drop")
         return self._end_run(host, run, "withdrawn", now)
 
-    def start_not_sent(self, host: Host, run: Run, now: float) -> list[Effect]:
+    def note_start_not_sent(self, host: Host, run: Run, now: float) -> list[Effect]:
         """End a run whose start could not be sent from this daemon."""
-        return self.start_answered(host, run, Rejection.UNWELL, now)
+        return self.apply_start_reply(host, run, Rejection.UNAVAILABLE, now)
 
-    def start_unanswered(self, host: Host, run: Run, now: float) -> list[Effect]:
+    def note_start_without_reply(
+        self, host: Host, run: Run, now: float
+    ) -> list[Effect]:
         """Raise the host's token to void a start that may still be carried out."""
         if host.runs.get(run.key) is not run or not run.allows("miss"):
             return []
         run.move("miss")
         return [self.raise_token(host)]
 
-    def report(
+    def apply_report(
         self,
         host: Host,
         report: HostReport,
@@ -98,17 +100,17 @@
             Loop time at which the request was sent.
         """
         effects: list[Effect] = []
-        if host.born and report.born != host.born:
+        if host.incarnation_ms and report.incarnation_ms != host.incarnation_ms:
             effects += self._handle_restart(host, now)
-        host.born = report.born
+        host.incarnation_ms = report.incarnation_ms
         host.clock, host.clock_at = report.clock, now
-        host.heard_at = host.reported_at = now
+        host.replied_at = host.reported_at = now
         if not host.settled:
             host.settled = True
             # A former owner may have renewed the lease just before this report.
-            host.granted(now)
+            host.extend_lease_expiry(now)
             log.info(
-                "book: first report from host under this term",
+                "pool_state: first report from host under this term",
                 extra={
                     "host": host.name,
                     "token": token,
@@ -123,7 +125,7 @@
 
     def _handle_restart(self, host: Host, now: float) -> list[Effect]:
         log.warning(
-            "book: host restarted; runs of its former incarnation are ended",
+            "pool_state: host restarted; runs of its former incarnation are ended",
             extra={"host": host.name},
         )
         effects: list[Effect] = []
@@ -132,61 +134,69 @@
                 continue
             run.move("lapse")
             effects += self._end_run(host, run, "host restarted", now)
-        host.seen = host.acknowledged = 0
+        host.last_end_seen = host.last_end_stored = 0
         effects.append(self.raise_token(host))
         return effects
 
     def _process_ends(
-        self, host: Host, ended: tuple[Ended, ...], now: float, wall: float
+        self, host: Host, ended: tuple[RunEnd, ...], now: float, wall: float
     ) -> list[Effect]:
         effects: list[Effect] = []
         for end in ended:
-            if end.number <= host.seen:
+            if end.number <= host.last_end_seen:
                 continue
-            host.seen = end.number
+            host.last_end_seen = end.number
             effects += self._process_end(host, end, now, wall)
         return effects
 
     def _process_end(
-        self, host: Host, end: Ended, now: float, wall: float
+        self, host: Host, end: RunEnd, now: float, wall: float
     ) -> list[Effect]:
         run = host.runs.get((end.task, end.run))
         if run is not None:
             run.move("end")
             self._remove_run(host, run)
-            if end.how is EndKind.DONE and run.begun_at and not run.progress_at_begin:
-                self.speeds.ended(run.queue, run.declared, now - run.begun_at)
+            if (
+                end.end_kind is EndKind.DONE
+                and run.begun_at
+                and not run.progress_at_begin
+            ):
+                self.speed_estimates.record_run(
+                    run.queue, run.declared_s, now - run.begun_at
+                )
         step = self.step(end.task)
         task = step.job.task(end.task) if step else None
         if step is None or task is None:
             return []
         log.info(
-            "book: run ended",
+            "pool_state: run ended",
             extra={
                 "request": end.task.job,
-                "task": label(end.task),
+                "task": format_task_position(end.task),
                 "run": end.run,
                 "host": host.name,
-                "how": end.how.value,
+                "how": end.end_kind.value,
                 "run_s": round(now - run.begun_at, 2) if run and run.begun_at else None,
             },
         )
         if end.checkpoint and end.run >= task.run:
             task.checkpoint = end.checkpoint
-        if end.how is EndKind.DONE:
+        if end.end_kind is EndKind.DONE:
             task.run = max(task.run, end.run)
             return self._complete_task(step, task, now, wall)
-        newest = end.run >= task.run
+        is_newest = end.run >= task.run
         task.run = max(task.run, end.run)
         if task.state == "unsettled":
             self.dirty.add(task.id.job)
-        return self._handle_unsuccessful_end(host, step, task, end, newest, now, wall)
+        return self._handle_unsuccessful_end(
+            host, step, task, end, is_newest, now, wall
+        )
 
     def _complete_task(
         self, step: StepRun, task: Task, now: float, wall: float
     ) -> list[Effect]:
         job = step.job
-        if job.closed:
+        if job.is_closed:
             if task.allows("done"):
                 task.move("done")
             return []
@@ -196,7 +206,7 @@
             if each.state != "done":
                 each.run = max(each.run, task.run)
                 each.move("done")
-        job.started = True
+        job.has_started = True
         self.dirty.add(job.id)
         self.health.observe(task.host, job.id, True, now, len(self.hosts))
         self._close_step_if_done(step, now)
@@ -208,16 +218,16 @@
         host: Host,
         step: StepRun,
         task: Task,
-        end: Ended,
-        newest: bool,
+        end: RunEnd,
+        is_newest: bool,
         now: float,
         wall: float,
     ) -> list[Effect]:
         if task.state == "done":
             return []
-        if newest and task.allows("free"):
+        if is_newest and task.allows("free"):
             task.move("free")
-        if end.how is EndKind.FAILED and end.run not in task.failures:
+        if end.end_kind is EndKind.FAILED and end.run not in task.failures:
             return self._record_failure(host, step, task, end.run, now, wall)
         return []
 
@@ -234,23 +244,27 @@
         tasks = step.tasks if step.spec.gang else [task]
         for each in tasks:
             each.failures.add(run)
-        task.avoid[host.name] = now
+        task.avoided_hosts[host.name] = now
         self.dirty.add(job.id)
         verdict = self.health.observe(host.name, job.id, False, now, len(self.hosts))
         if verdict is not None and verdict.event == "eject":
-            host.resting = True
+            host.is_quarantined = True
             log.warning(
-                "book: host quarantined: too many of its runs failed",
+                "pool_state: host quarantined: too many of its runs failed",
                 extra={"host": host.name},
             )
         queue = self.queues.get(job.queue)
         attempt_limit = queue.max_attempts if queue else 1
-        if step.spec.long_running or task.failed < attempt_limit or job.closed:
+        if (
+            step.spec.long_running
+            or task.failure_count < attempt_limit
+            or job.is_closed
+        ):
             return []
         return self._close_job(job, JobState.FAILED, wall)
 
     def _process_running(
-        self, host: Host, running: tuple[Running, ...], now: float
+        self, host: Host, running: tuple[RunStatus, ...], now: float
     ) -> list[Effect]:
         effects: list[Effect] = []
         for row in running:
@@ -259,7 +273,7 @@
                 run, more = self._adopt_run(host, row, now)
                 effects += more
             elif run.state in ("ordered", "withdrawn", "doubtful"):
-                run.since = now
+                run.commanded_at = now
                 run.move("list")
                 self._mark_begun(host, run, now)
                 if run.state == "running" and self._is_job_closed(run):
@@ -276,10 +290,10 @@
 
     def _is_job_closed(self, run: Run) -> bool:
         job = self.jobs.get(run.key[0].job)
-        return job is None or job.closed
+        return job is None or job.is_closed
 
     def _adopt_run(
-        self, host: Host, row: Running, now: float
+        self, host: Host, row: RunStatus, now: float
     ) -> tuple[Run, list[Effect]]:
         """Add a listed run that this owner did not start; stop it if unwanted."""
         step = self.step(row.task)
@@ -296,22 +310,22 @@
         run.moved_at = now
         run.begun_at = now
         host.add(run)
-        wanted = (
+        is_wanted = (
             step is not None
             and task is not None
-            and not step.job.closed
+            and not step.job.is_closed
             and task.state in ("unsettled", "waiting")
             and row.run >= task.run
         )
         if step is not None:
-            step.by_host[host.name] = step.by_host.get(host.name, 0) + 1
-        if not wanted or step is None or task is None:
-            run.foreign = True
+            step.runs_by_host[host.name] = step.runs_by_host.get(host.name, 0) + 1
+        if not is_wanted or step is None or task is None:
+            run.is_unexpected = True
             return run, self.stop(host, run, "not wanted")
         task.run = row.run
         task.host = host.name
         task.move("adopt")
-        step.job.started = True
+        step.job.has_started = True
         return run, []
 
     def _end_absent_runs(
@@ -322,7 +336,9 @@
         for key, run in list(host.runs.items()):
             if key in listed:
                 continue
-            is_missing = run.state in ("running", "stopping") and run.since < sent_at
+            is_missing = (
+                run.state in ("running", "stopping") and run.commanded_at < sent_at
+            )
             is_voided = run.state == "doubtful" and run.token < token
             if is_missing or is_voided:
                 run.move("absent")
--- a/siskinroad/work/progress.py
+++ b/siskinroad/work/progress.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from siskinroad.errors import SiskinroadError
-from siskinroad.work.claim import PRODUCER
+from siskinroad.work.claim import PROGRESS_PRODUCER
 from siskinroad.work.job import Job
 from siskinroad.work.records import HostSet, progress_topic, record_of
 from siskinroad.work.store import (
@@ -19,7 +19,7 @@
 )
 from siskinroad.work.term import Term
 
-__all__ = ["Deposed", "ProgressLog"]
+__all__ = ["OwnershipLostError", "ProgressLog"]
 
 # Seconds between two appends of progress, so that one append carries many ends.
 FLUSH_INTERVAL = 0.08
@@ -33,7 +33,7 @@
 log = logging.getLogger("siskinroad.progress")
 
 
-class Deposed(SiskinroadError):
+class OwnershipLostError(SiskinroadError):
     """Ownership was lost: another daemon has claimed the pool."""
 
 
@@ -59,20 +59,20 @@
     def __init__(self, term: Term, hosts: HostSet | None) -> None:
         self.term = term
         self.flushed = asyncio.Event()
-        self._recorded_hosts = hosts
+        self._stored_hosts = hosts
         self._sequence = 0
         self._batch: _Batch | None = None
         self._waiters: dict[str, asyncio.Event] = {}
 
     @property
-    def due(self) -> bool:
+    def has_unstored_changes(self) -> bool:
         """Whether anything has not been stored yet."""
-        pending = self._batch is not None or bool(self.term.book.dirty)
-        return pending or self._host_set() != self._recorded_hosts
+        pending = self._batch is not None or bool(self.term.pool_state.dirty)
+        return pending or self._host_set() != self._stored_hosts
 
-    def get_recorded_event(self, job_id: str) -> asyncio.Event:
+    def get_stored_event(self, job_id: str) -> asyncio.Event:
         """Return an event that is set once the job's outcome is stored."""
-        self.term.flush_wanted.set()
+        self.term.store_wanted.set()
         return self._waiters.setdefault(job_id, asyncio.Event())
 
     async def run(self) -> None:
@@ -80,12 +80,12 @@
 
         Raises
         ------
-        Deposed
+        OwnershipLostError
             A later term has fenced this one.
         """
         while True:
-            await self.term.flush_wanted.wait()
-            self.term.flush_wanted.clear()
+            await self.term.store_wanted.wait()
+            self.term.store_wanted.clear()
             try:
                 await self.flush()
             except (StoreUnavailableError, StoreUnknownError) as exc:
@@ -93,20 +93,22 @@
                     "progress: append failed; retrying",
                     extra={"pool": self.term.pool, "error": str(exc)},
                 )
-                self.term.flush_wanted.set()
+                self.term.store_wanted.set()
                 await asyncio.sleep(FLUSH_RETRY_INTERVAL)
                 continue
             except FencedError as exc:
-                raise Deposed(
+                raise OwnershipLostError(
                     "progress append was fenced by a later term", step="progress.flush"
                 ) from exc
             await asyncio.sleep(FLUSH_INTERVAL)
 
     def _host_set(self) -> HostSet:
-        known = set(self.term.book.hosts)
-        if not self.term.book.settled:
-            known |= self.term.book.waiting_for_hosts
-        return HostSet(tuple(sorted(known)), self.term.number, self.term.book.settled)
+        known = set(self.term.pool_state.hosts)
+        if not self.term.pool_state.settled:
+            known |= self.term.pool_state.waiting_for_hosts
+        return HostSet(
+            tuple(sorted(known)), self.term.number, self.term.pool_state.settled
+        )
 
     async def flush(self) -> None:
         """Store every job that has changed, then acknowledge the hosts' ends.
@@ -118,8 +120,8 @@
             self._batch = self._make_batch()
         batch = self._batch
         if batch.records:
-            fence = Fence(PRODUCER, self.term.number, self._sequence + 1)
-            await self.term.parts.store.append(
+            fence = Fence(PROGRESS_PRODUCER, self.term.number, self._sequence + 1)
+            await self.term.dependencies.store.append(
                 progress_topic(self.term.pool),
                 list(batch.records),
                 fence=fence,
@@ -127,40 +129,44 @@
             )
             self._sequence += 1
         self._batch = None
-        self._mark_recorded(batch)
-        if self.term.book.dirty:
-            self.term.flush_wanted.set()
+        self._mark_stored(batch)
+        if self.term.pool_state.dirty:
+            self.term.store_wanted.set()
 
     def _make_batch(self) -> _Batch:
-        changed = list(self.term.book.dirty)[:MAX_RECORDS_PER_APPEND]
-        self.term.book.dirty.difference_update(changed)
+        changed = list(self.term.pool_state.dirty)[:MAX_RECORDS_PER_APPEND]
+        self.term.pool_state.dirty.difference_update(changed)
         jobs = [
-            self.term.book.jobs[job] for job in changed if job in self.term.book.jobs
+            self.term.pool_state.jobs[job]
+            for job in changed
+            if job in self.term.pool_state.jobs
         ]
         records = [record_of(job.progress()) for job in jobs]
         hosts = self._host_set()
-        if hosts != self._recorded_hosts:
+        if hosts != self._stored_hosts:
             records.append(record_of(hosts))
         ends_seen: tuple[tuple[str, int, int], ...] = ()
-        if not self.term.book.dirty:
-            known = self.term.book.hosts.values()
-            ends_seen = tuple((host.name, host.born, host.seen) for host in known)
+        if not self.term.pool_state.dirty:
+            known = self.term.pool_state.hosts.values()
+            ends_seen = tuple(
+                (host.name, host.incarnation_ms, host.last_end_seen) for host in known
+            )
         outcomes = tuple((job, job.outcome) for job in jobs)
         return _Batch(tuple(records), outcomes, hosts, ends_seen)
 
-    def _mark_recorded(self, batch: _Batch) -> None:
-        self._recorded_hosts = batch.hosts
+    def _mark_stored(self, batch: _Batch) -> None:
+        self._stored_hosts = batch.hosts
         for name in batch.hosts.names:
-            if name in self.term.book.hosts:
-                self.term.book.hosts[name].recorded = True
+            if name in self.term.pool_state.hosts:
+                self.term.pool_state.hosts[name].is_stored = True
         for job, outcome in batch.outcomes:
-            job.recorded = outcome
+            job.stored_outcome = outcome
             waiter = self._waiters.pop(job.id, None)
             if waiter is not None:
                 waiter.set()
-        for name, born, seen in batch.ends_seen:
-            host = self.term.book.hosts.get(name)
-            if host is not None and host.born == born:
-                host.acknowledged = max(host.acknowledged, seen)
+        for name, incarnation_ms, last_end_seen in batch.ends_seen:
+            host = self.term.pool_state.hosts.get(name)
+            if host is not None and host.incarnation_ms == incarnation_ms:
+                host.last_end_stored = max(host.last_end_stored, last_end_seen)
         self.flushed.set()
         self.flushed = asyncio.Event()
--- a/siskinroad/work/steward.py
+++ b/siskinroad/work/run_monitor.py
@@ -14,14 +14,14 @@
 
 import logging
 
-from siskinroad.work.book import Book
-from siskinroad.work.effects import Effect, PaceRun
+from siskinroad.work.effects import Effect, ThrottleRun
 from siskinroad.work.host import Host, Run
 from siskinroad.work.job import StepRun
 from siskinroad.work.model import Timing
-from siskinroad.work.speed import extrapolate_total_s
+from siskinroad.work.pool_state import PoolState
+from siskinroad.work.speed_estimates import extrapolate_total_s
 
-__all__ = ["Steward"]
+__all__ = ["RunMonitor"]
 
 # Seconds without progress after which a run counts as stalled. A host that has not
 # answered for this long is not judged: its listed progress is too old.
@@ -69,22 +69,22 @@
 # last half second: after a shorter wait, the figure still covers the old throttle.
 THROTTLE_SETTLE_S = 0.6
 
-log = logging.getLogger("siskinroad.steward")
+log = logging.getLogger("siskinroad.run_monitor")
 
 
-class Steward:
+class RunMonitor:
     """Monitor of the runs on the hosts of one pool."""
 
-    def __init__(self, book: Book, timing: Timing) -> None:
-        self.book = book
+    def __init__(self, pool_state: PoolState, timing: Timing) -> None:
+        self.pool_state = pool_state
         self.timing = timing
         self._throttled_at: dict[str, float] = {}
         self._quarantined_until: dict[str, float] = {}
 
-    def look(self, now: float, wall: float) -> list[Effect]:
+    def check_runs(self, now: float, wall: float) -> list[Effect]:
         """Check every host and return the commands that stop or throttle its runs."""
         effects: list[Effect] = []
-        for host in list(self.book.hosts.values()):
+        for host in list(self.pool_state.hosts.values()):
             self._copy_late_tasks(host, now)
             effects += self._stop_stalled_runs(host, now)
             effects += self._move_off_slow_host(host, now)
@@ -96,39 +96,41 @@
     def _copy_late_tasks(self, host: Host, now: float) -> None:
         """Request speculative copies of tasks whose runs are late or silent."""
         for run in list(host.runs.values()):
-            step = self.book.step(run.key[0])
+            step = self.pool_state.step(run.key[0])
             if run.state != "running" or step is None or not step.spec.copies:
                 continue
             reason = self._find_copy_reason(host, run, now)
             if reason:
-                self.book.copy(host, run, reason, now)
+                self.pool_state.allow_copy(host, run, reason, now)
 
     def _find_copy_reason(self, host: Host, run: Run, now: float) -> str:
         """Return why a run needs a speculative copy; empty if it needs none."""
-        if host.failing and now - host.reported_at > COPY_SILENCE_S:
+        if host.is_failing and now - host.reported_at > COPY_SILENCE_S:
             return "host does not answer"
-        expected = self.book.speeds.expected(run.queue, run.declared)
-        ratio = self.book.speeds.ratio(run)
-        if expected is None:
+        expected_s = self.pool_state.speed_estimates.expected_s(
+            run.queue, run.declared_s
+        )
+        ratio = self.pool_state.speed_estimates.ratio(run)
+        if expected_s is None:
             return ""
         stalled_s = now - run.moved_at if run.moved_at else 0.0
-        if run.progress < 100 and stalled_s > max(COPY_STALL_S, 2 * expected / 100):
+        if run.progress < 100 and stalled_s > max(COPY_STALL_S, 2 * expected_s / 100):
             return "no progress"
-        left_s = self.book.speeds.remaining(run, now)
+        left_s = self.pool_state.speed_estimates.remaining_s(run, now)
         slow = ratio is not None and ratio > COPY_RATIO
-        return "slow" if slow and left_s > MIN_COPY_GAIN * expected else ""
+        return "slow" if slow and left_s > MIN_COPY_GAIN * expected_s else ""
 
     def _stop_stalled_runs(self, host: Host, now: float) -> list[Effect]:
         """Stop stalled runs, so that their tasks restart elsewhere."""
-        if now - host.heard_at > STALL_TIMEOUT_S:
+        if now - host.replied_at > STALL_TIMEOUT_S:
             return []
         stalled = [run for run in host.runs.values() if self._is_stalled(run, now)]
         effects: list[Effect] = []
         for run in stalled:
-            task = self.book.task(run.key[0])
+            task = self.pool_state.task(run.key[0])
             if task is not None:
-                task.avoid[host.name] = now
-            effects += self.book.stop(host, run, "no progress")
+                task.avoided_hosts[host.name] = now
+            effects += self.pool_state.stop(host, run, "no progress")
         if len(stalled) >= QUARANTINE_STALLED_RUNS:
             self._quarantine_host(host, now, QUARANTINE_S, "stalls")
         return effects
@@ -141,21 +143,24 @@
     def _quarantine_host(
         self, host: Host, now: float, seconds: float, reason: str
     ) -> None:
-        resting = sum(1 for h in self.book.hosts.values() if h.resting)
-        max_quarantined = len(self.book.hosts) * MAX_QUARANTINED_FRACTION
-        if not host.resting and resting + 1 > max_quarantined:
+        quarantined_count = sum(
+            1 for h in self.pool_state.hosts.values() if h.is_quarantined
+        )
+        max_quarantined = len(self.pool_state.hosts) * MAX_QUARANTINED_FRACTION
+        if not host.is_quarantined and quarantined_count + 1 > max_quarantined:
             return
-        if not host.resting:
+        if not host.is_quarantined:
             log.warning(
-                "steward: host quarantined", extra={"host": host.name, "why": reason}
+                "run_monitor: host quarantined",
+                extra={"host": host.name, "why": reason},
             )
-        host.resting = True
+        host.is_quarantined = True
         self._quarantined_until[host.name] = now + seconds
 
     def _move_off_slow_host(self, host: Host, now: float) -> list[Effect]:
         """Quarantine a slow host, and stop runs that would end sooner elsewhere."""
-        slowness = self.book.speeds.slowness(host)
-        if slowness < SLOW_HOST_RATIO or now - host.heard_at > STALL_TIMEOUT_S:
+        slowness = self.pool_state.speed_estimates.slowness(host)
+        if slowness < SLOW_HOST_RATIO or now - host.replied_at > STALL_TIMEOUT_S:
             return []
         self._quarantine_host(
             host, now, SLOW_QUARANTINE_S, f"{slowness:.1f} times slower than expected"
@@ -163,12 +168,12 @@
         effects: list[Effect] = []
         for run in list(host.runs.values()):
             if self._ends_sooner_elsewhere(run, slowness, now):
-                effects += self.book.stop(host, run, "would end sooner elsewhere")
+                effects += self.pool_state.stop(host, run, "would end sooner elsewhere")
         return effects
 
     def _ends_sooner_elsewhere(self, run: Run, slowness: float, now: float) -> bool:
         """Return whether a task would end sooner if it restarted elsewhere."""
-        step = self.book.step(run.key[0])
+        step = self.pool_state.step(run.key[0])
         if run.state != "running" or step is None or step.spec.gang:
             return False
         if step.spec.filler or step.spec.long_running or run.key[1] > MAX_MOVABLE_RUN:
@@ -176,21 +181,23 @@
         total_s = extrapolate_total_s(run)
         if total_s is None:
             return False
-        restart_s = total_s / slowness + self.timing.stop_grace + MOVE_OVERHEAD_S
+        restart_s = total_s / slowness + self.timing.stop_grace_s + MOVE_OVERHEAD_S
         return total_s - (now - run.begun_at) > MIN_MOVE_GAIN * restart_s
 
     def _stop_before_leave(self, host: Host, now: float) -> list[Effect]:
         """Stop the runs that will not end before a draining host leaves."""
         if not host.entry.draining:
             return []
-        left_s = max(0.0, host.leaves_at - now)
+        left_s = max(0.0, host.earliest_leave_at - now)
         effects: list[Effect] = []
         for run in list(host.runs.values()):
-            step = self.book.step(run.key[0])
+            step = self.pool_state.step(run.key[0])
             if run.state != "running" or step is None:
                 continue
             if self._should_stop_before_leave(run, step, left_s, now):
-                effects += self.book.stop(host, run, "host leaves before the run ends")
+                effects += self.pool_state.stop(
+                    host, run, "host leaves before the run ends"
+                )
         return effects
 
     def _should_stop_before_leave(
@@ -198,23 +205,23 @@
     ) -> bool:
         """Return whether to stop a run when its host leaves in ``left_s`` seconds."""
         if step.spec.long_running:
-            return left_s <= self.timing.stop_grace + LEAVE_MARGIN_S
+            return left_s <= self.timing.stop_grace_s + LEAVE_MARGIN_S
         limit_s = (
             left_s - LEAVE_MARGIN_S
             if step.spec.checkpoints
             else left_s + LEAVE_OVERSTAY_S
         )
-        return self.book.speeds.remaining(run, now) > limit_s
+        return self.pool_state.speed_estimates.remaining_s(run, now) > limit_s
 
     def _end_quarantine(self, host: Host, now: float) -> None:
-        if not host.resting:
+        if not host.is_quarantined:
             return
         until = self._quarantined_until.setdefault(host.name, now + QUARANTINE_S)
         if now >= until:
-            host.resting = False
+            host.is_quarantined = False
             del self._quarantined_until[host.name]
-            self.book.health.forget(host.name)
-            log.info("steward: host leaves quarantine", extra={"host": host.name})
+            self.pool_state.health.forget(host.name)
+            log.info("run_monitor: host leaves quarantine", extra={"host": host.name})
 
     def _throttle_best_effort(self, host: Host, now: float) -> list[Effect]:
         """Throttle best-effort tasks before a tail beside them reaches its bound."""
@@ -232,19 +239,20 @@
         )
         if worst_tail_ratio > THROTTLE_ABOVE:
             new_percents = [
-                int(max(run.pace, 0) * THROTTLE_FACTOR) for run in best_effort
+                int(max(run.speed_percent, 0) * THROTTLE_FACTOR) for run in best_effort
             ]
         elif worst_tail_ratio < UNTHROTTLE_BELOW:
             new_percents = [
-                min(100, max(run.pace, 0) + UNTHROTTLE_STEP) for run in best_effort
+                min(100, max(run.speed_percent, 0) + UNTHROTTLE_STEP)
+                for run in best_effort
             ]
         else:
             return []
         effects: list[Effect] = []
         for run, percent in zip(best_effort, new_percents, strict=True):
-            if percent != run.pace:
-                run.pace = percent
-                effects.append(PaceRun(host.name, run, percent))
+            if percent != run.speed_percent:
+                run.speed_percent = percent
+                effects.append(ThrottleRun(host.name, run, percent))
         if effects:
             self._throttled_at[host.name] = now
         return effects
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -10,17 +10,17 @@
 
 from siskinroad.httpd import HttpRequest, HttpResponse, HttpServer
 from siskinroad.resources import Resources
-from siskinroad.work.hosts import Order, Rejection, StartOrder
+from siskinroad.work.hosts import HostCommand, Rejection, StartCommand
 from siskinroad.work.hosts_memory import MemoryHost, MemoryHosts
 from siskinroad.work.model import HostEntry
-from siskinroad.work.store import Fence, FencedError, TailMovedError, TrimmedError
+from siskinroad.work.store import Fence, FencedError, OffsetMismatchError, TrimmedError
 from siskinroad.work.store_memory import MemoryLogs, MemoryStore
 
 REASON_BY_REJECTION = {
     Rejection.FENCED: "fence",
     Rejection.OLD: "old",
     Rejection.LATE: "late",
-    Rejection.ROOM: "room",
+    Rejection.NO_CAPACITY: "room",
     Rejection.TICKET: "ticket",
 }
 CONFIG = {
@@ -87,12 +87,12 @@
 
         self.logs.append(topic, [Record(key, value)], None, None)
 
-    async def add_host(self, name, address, work=0.3):
+    async def add_host(self, name, address, task_duration_s=0.3):
         capacity = Resources(16000, 32768, 0, 0)
         entry = HostEntry(
             name, "wuno96b", address, "z1", False, capacity, frozenset(), "r1-3"
         )
-        self.hosts.add(MemoryHost(entry, work=work))
+        self.hosts.add(MemoryHost(entry, task_duration_s=task_duration_s))
         value = msgspec.json.encode(server_entry(address))
         await self.put("keyed.servers", name, value)
 
@@ -124,7 +124,7 @@
             offset = await self.store.append(
                 query["topic"], records, at=at, fence=fence
             )
-        except TailMovedError as exc:
+        except OffsetMismatchError as exc:
             return reply(412, end_offset=exc.end)
         except FencedError:
             return reply(409, reason="fenced")
@@ -134,11 +134,13 @@
         query = req.query
         wait = int(query.get("wait_ms", "0")) / 1000
         try:
-            tail = await self.store.read(query["topic"], int(query["from"]), wait=wait)
+            result = await self.store.read(
+                query["topic"], int(query["from"]), wait=wait
+            )
         except TrimmedError as exc:
             return reply(410, start_offset=exc.first)
-        offsets = struct.pack(">QQ", tail.end, 0)
-        return HttpResponse(200, offsets + encode_records(list(tail.records)))
+        offsets = struct.pack(">QQ", result.end, 0)
+        return HttpResponse(200, offsets + encode_records(list(result.records)))
 
     async def newest(self, req):
         after = unquote(req.query.get("depends_on", ""))
@@ -165,12 +167,12 @@
             return reply(421)
         body = msgspec.json.decode(req.body)
         if req.path == "/hold":
-            return await self.hold(name, body)
+            return await self.renew_lease(name, body)
         task, run = task_from_name(body["task"]), body["attempt"]
         token = body["fencing_token"]
         rejection = None
         if req.path == "/run-start":
-            command = StartOrder(
+            command = StartCommand(
                 name,
                 "",
                 token,
@@ -183,16 +185,16 @@
             )
             rejection = host.accept(command)
         elif req.path == "/run-stop":
-            rejection = host.stop(Order(name, "", token, task, run))
+            rejection = host.stop(HostCommand(name, "", token, task, run))
         if rejection is not None:
             return reply(
                 409, clock_ms=host.clock(), reason=REASON_BY_REJECTION[rejection]
             )
-        return reply(200, clock_ms=host.clock(), born=host.born)
+        return reply(200, clock_ms=host.clock(), born=host.incarnation_ms)
 
-    async def hold(self, name, body):
+    async def renew_lease(self, name, body):
         wait = body.get("wait_ms", 0) / 1000
-        report = await self.hosts.hold(
+        report = await self.hosts.renew_lease(
             name,
             "",
             body["fencing_token"],
@@ -207,13 +209,13 @@
             for r in report.running
         ]
         finished = [
-            [e.number, task_name(e.task), e.run, e.how.value, e.checkpoint]
+            [e.number, task_name(e.task), e.run, e.end_kind.value, e.checkpoint]
             for e in report.ended
         ]
         return reply(
             200,
             clock_ms=report.clock,
-            born=report.born,
+            born=report.incarnation_ms,
             running=running,
             finished=finished,
         )
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -57,7 +57,7 @@
 def test_runs_continue_when_owner_is_killed():
     async def scenario(cell):
         for host in cell.hosts.hosts.values():
-            host.work = 6.0
+            host.task_duration_s = 6.0
         await cell.start_daemons("a", "b", "c")
         await cell.submit("a", JOB_ID, job(step(4)))
         await asyncio.sleep(0.5)
@@ -95,7 +95,7 @@
     run_scenario(scenario)
 
 
-def test_after_everything_was_killed_work_starts_within_a_second_of_the_restart():
+def test_waiting_work_starts_within_a_second_after_restart_of_all_daemons():
     # All daemons are killed at once while jobs wait, and then restart; the waiting jobs
     # must not wait for long after that.
     async def scenario(cell):
@@ -118,7 +118,7 @@
     run_scenario(scenario)
 
 
-def test_restarted_daemon_does_not_claim_pool_of_owner_not_yet_heard():
+def test_restarted_daemon_does_not_claim_pool_before_heartbeats_of_its_owner_arrive():
     # After a restart on a busy host, the owner's heartbeats arrive late; the daemon
     # must not take that for a dead owner.
     async def scenario(cell):
@@ -156,21 +156,21 @@
     run_scenario(scenario)
 
 
-def test_an_owner_that_stops_in_an_outage_holds_its_hosts_until_the_store_is_back():
+def test_draining_owner_renews_leases_until_store_recovers():
     # An owner stopped when the store became silent. No daemon could claim its pool, and
     # the leases of 21 runs expired before the store answered again.
     async def scenario(cell):
         for host in cell.hosts.hosts.values():
-            host.work = 9.0
+            host.task_duration_s = 9.0
         await cell.start_daemons("a", "b", "c")
         await cell.submit("a", JOB_ID, job(step(6, estimate=9.0)))
         await asyncio.sleep(0.5)
-        cell.logs.faults.silent = True
+        cell.logs.faults.no_replies = True
         leaving = cell.daemons.pop(cell.owner())
         drain = asyncio.create_task(leaving.drain(3.5))
         await asyncio.sleep(3.0)
         assert leaving.owners
-        cell.logs.faults.silent = False
+        cell.logs.faults.no_replies = False
         await asyncio.sleep(2.0)
         assert cell.owner() is not None
         await drain
@@ -181,10 +181,10 @@
     run_scenario(scenario)
 
 
-def test_a_stop_in_an_outage_without_end_gives_the_pools_up_in_time():
+def test_drain_releases_pools_in_time_during_endless_outage():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
-        cell.logs.faults.silent = True
+        cell.logs.faults.no_replies = True
         leaving = cell.daemons.pop(cell.owner())
         began = asyncio.get_running_loop().time()
         await leaving.drain(3.5)
@@ -194,7 +194,7 @@
     run_scenario(scenario)
 
 
-def test_a_daemon_that_starts_without_the_store_serves_by_way_of_its_peers():
+def test_daemon_started_without_store_serves_through_peers():
     # A daemon is killed and restarts while the store rejects its calls.
     async def scenario(cell):
         await cell.start_daemons("a", "b", "c")
@@ -204,7 +204,7 @@
         await asyncio.sleep(1.0)
         cell.start(restarted)
         await asyncio.sleep(4.0)
-        assert cell.daemons[restarted].ready
+        assert cell.daemons[restarted].is_ready
         reply = await cell.submit(restarted, JOB_ID, job())
         assert reply.kind == "ok"
         await cell.wait_for_state(JOB_ID, "complete")
@@ -220,7 +220,7 @@
         await cell.start_daemons("a", "b", "c")
         await cell.submit("a", JOB_ID, job(step(8)))
         await asyncio.sleep(0.1)
-        cell.logs.faults.slow = 0.4
+        cell.logs.faults.call_delay_s = 0.4
         leaving = cell.daemons.pop(cell.owner())
         drain = asyncio.create_task(leaving.drain(3.5))
         await asyncio.sleep(0.4 + 0.05)
@@ -235,13 +235,13 @@
     run_scenario(scenario)
 
 
-@pytest.mark.parametrize("late", [-1.0, 0.3, 1.5, 3.0])
-def test_unanswered_start_never_causes_second_run(late):
+@pytest.mark.parametrize("late_start_delay", [-1.0, 0.3, 1.5, 3.0])
+def test_unanswered_start_never_causes_second_run(late_start_delay):
     async def scenario(cell):
         await cell.start_daemons("a", "b")
         for host in cell.hosts.hosts.values():
-            host.mute_starts = 1
-            host.late = late
+            host.unanswered_starts = 1
+            host.late_start_delay = late_start_delay
         await cell.submit("a", JOB_ID, job(step(3)))
         await cell.wait_for_state(JOB_ID, "complete")
         await asyncio.sleep(5)
@@ -256,8 +256,8 @@
     async def scenario(cell):
         await cell.start_daemons("a", "b")
         for host in cell.hosts.hosts.values():
-            host.mute_starts = 1
-            host.late = 3.0
+            host.unanswered_starts = 1
+            host.late_start_delay = 3.0
         began = asyncio.get_running_loop().time()
         await cell.submit("a", JOB_ID, job(step(1)))
         starts = await cell.wait_for_starts(1)
@@ -272,7 +272,7 @@
 def test_task_of_unreachable_host_restarts_only_after_lease_expiry():
     async def scenario(cell):
         for host in cell.hosts.hosts.values():
-            host.work = 8.0
+            host.task_duration_s = 8.0
         await cell.start_daemons("a", "b")
         await cell.submit("a", JOB_ID, job(step(1)))
         await asyncio.sleep(0.5)
@@ -294,11 +294,11 @@
         await cell.submit("a", JOB_ID, job(step(2), step(1, after=(0,))))
         await asyncio.sleep(0.5)
         for host in cell.hosts.hosts.values():
-            host.work = 30.0
-        cell.logs.faults.down = True
+            host.task_duration_s = 30.0
+        cell.logs.faults.is_unavailable = True
         await asyncio.sleep(1.5)
         await cell.kill(cell.owner())
-        cell.logs.faults.down = False
+        cell.logs.faults.is_unavailable = False
         await cell.wait_for_owner()
         await cell.kill(cell.owner())
         cell.start("d")
@@ -316,14 +316,14 @@
         old = cell.owner()
         new = next(name for name in cell.daemons if name != old)
         cell.network.faults.cut |= {(old, new), (new, old)}
-        cell.logs.faults.deaf.add(old)
+        cell.logs.faults.no_read_replies.add(old)
         for _ in range(60):
             if POOL in cell.daemons[new].owners:
                 break
             await asyncio.sleep(0.05)
         owner = cell.daemons[old].owners[POOL]
         await cell.submit(old, JOB_ID, job())
-        assert JOB_ID not in owner.book.jobs
+        assert JOB_ID not in owner.pool_state.jobs
         await cell.wait_for_starts(1)
         assert len(cell.hosts.starts()) == 1
 
@@ -346,8 +346,8 @@
 def test_unanswered_job_append_is_never_reported_as_not_run():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
-        cell.logs.faults.lost_answers = 1
-        cell.logs.faults.late = 0.5
+        cell.logs.faults.lost_replies = 1
+        cell.logs.faults.late_append_delay = 0.5
         reply = await cell.submit("a", JOB_ID, job())
         assert reply.kind in ("ok", "unknown")
         await cell.wait_for_state(JOB_ID, "complete")
@@ -356,12 +356,12 @@
     run_scenario(scenario)
 
 
-def test_a_store_that_is_down_refuses_at_once_and_accepted_work_goes_on():
+def test_unavailable_store_refuses_jobs_at_once_and_accepted_work_continues():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
         await cell.submit("a", JOB_ID, job(step(1), step(1, after=(0,))))
         await asyncio.sleep(0.2)
-        cell.logs.faults.down = True
+        cell.logs.faults.is_unavailable = True
         await asyncio.sleep(3.0)
         began = asyncio.get_running_loop().time()
         reply = await cell.submit("a", "00000000000000bb", job())
@@ -369,7 +369,7 @@
         assert asyncio.get_running_loop().time() - began < 0.1
         assert len(cell.hosts.starts()) == 2
         assert await cell.state("a", JOB_ID) == "active"
-        cell.logs.faults.down = False
+        cell.logs.faults.is_unavailable = False
         await cell.wait_for_state(JOB_ID, "complete")
 
     run_scenario(scenario)
@@ -381,7 +381,7 @@
     async def scenario(cell):
         loop = asyncio.get_running_loop()
         await cell.start_daemons("a", "b")
-        cell.logs.faults.silent = True
+        cell.logs.faults.no_replies = True
         first = asyncio.create_task(cell.submit("b", JOB_ID, job()))
         await asyncio.sleep(0.5)
         began = loop.time()
@@ -390,7 +390,7 @@
         assert loop.time() - began < 1.0
         assert (await first).kind == "unknown"
         await asyncio.sleep(2.0)
-        cell.logs.faults.silent = False
+        cell.logs.faults.no_replies = False
         back = loop.time()
         while (await cell.submit("b", "00000000000000bb", job())).kind != "ok":
             await asyncio.sleep(0.25)
@@ -448,7 +448,9 @@
         await cell.start_daemons("a", "b")
         await cell.submit("a", JOB_ID, job(step(2), step(2, after=(0,))))
         await asyncio.sleep(0.3)
-        reply = await cell.daemons["b"].desk.cancel(ADVISED, JOB_ID, cell.deadline())
+        reply = await cell.daemons["b"].job_service.cancel(
+            ADVISED, JOB_ID, cell.deadline()
+        )
         assert reply.kind == "ok"
         await asyncio.sleep(4)
         assert await cell.state("b", JOB_ID) == "cancelled"
@@ -464,10 +466,10 @@
     async def scenario(cell):
         await cell.start_daemons("a")
         host = cell.hosts.hosts["i-0"]
-        host.mute_starts = 3
+        host.unanswered_starts = 3
         await cell.submit("a", JOB_ID, job(step(8)))
         await asyncio.sleep(0.1)
-        await cell.daemons["a"].desk.cancel(ADVISED, JOB_ID, cell.deadline())
+        await cell.daemons["a"].job_service.cancel(ADVISED, JOB_ID, cell.deadline())
         await asyncio.sleep(4)
         assert not host.starts
         await cell.submit("a", "00000000000000bb", job(step(8)))
@@ -480,7 +482,7 @@
     async def scenario(cell):
         await cell.start_daemons("a", "b")
         assert await cell.state("a", JOB_ID) == "no_job"
-        cell.logs.faults.down = True
+        cell.logs.faults.is_unavailable = True
         await asyncio.sleep(4)
         assert await cell.state("a", JOB_ID) == "not_now"
 
@@ -490,8 +492,8 @@
 def test_job_fails_after_its_last_attempt():
     async def scenario(cell):
         for host in cell.hosts.hosts.values():
-            host.how = EndKind.FAILED
-            host.work = 0.2
+            host.end_kind = EndKind.FAILED
+            host.task_duration_s = 0.2
         await cell.start_daemons("a", "b")
         await cell.submit("a", JOB_ID, job())
         await cell.wait_for_state(JOB_ID, "failed")
@@ -542,8 +544,8 @@
     async def scenario(cell):
         cell.advisor.denied = {"i-0", "i-2"}
         await cell.start_daemons("a", "b")
-        desk = cell.daemons["a"].desk
-        await desk.submit(ADVISED, JOB_ID, job(step(3)), cell.deadline())
+        job_service = cell.daemons["a"].job_service
+        await job_service.submit(ADVISED, JOB_ID, job(step(3)), cell.deadline())
         await cell.wait_for_state(JOB_ID, "complete")
         assert {s.host for s in cell.hosts.starts()} == {"i-1"}
 
@@ -586,10 +588,10 @@
     run_scenario(scenario)
 
 
-def test_a_host_that_begins_a_new_life_under_its_name_has_lost_its_work():
+def test_restarted_host_has_lost_its_runs():
     async def scenario(cell):
         for host in cell.hosts.hosts.values():
-            host.work = 5.0
+            host.task_duration_s = 5.0
         await cell.start_daemons("a", "b")
         await cell.submit("a", JOB_ID, job())
         await asyncio.sleep(0.5)
@@ -597,7 +599,7 @@
         host.runs.clear()
         host.last_run.clear()
         host.token = 0
-        host.born += 1
+        host.incarnation_ms += 1
         await asyncio.sleep(3.0)
         assert len(cell.hosts.starts()) == 2
         await cell.wait_for_state(JOB_ID, "complete")
--- a/tests/work/test_hard_cases.py
+++ b/tests/work/test_hard_cases.py
@@ -14,15 +14,15 @@
     return [f"{prefix:08x}{i:08x}" for i in range(count)]
 
 
-@pytest.mark.parametrize("late", [0.2, 0.8, 2.0, 5.0])
-def test_delayed_start_of_killed_owner_runs_nothing_after_takeover(late):
+@pytest.mark.parametrize("late_start_delay", [0.2, 0.8, 2.0, 5.0])
+def test_delayed_start_of_killed_owner_runs_nothing_after_takeover(late_start_delay):
     # An owner dies with starts in flight, which reach the hosts only later; no run of
     # them may be left.
     async def scenario(cell):
         await cell.start_daemons("a", "b", "c")
         for host in cell.hosts.hosts.values():
-            host.mute_starts = 2
-            host.late = late
+            host.unanswered_starts = 2
+            host.late_start_delay = late_start_delay
         await cell.submit("a", JOB_ID, job(step(6)))
         await asyncio.sleep(0.05)
         await cell.kill(cell.owner(), power_loss=True)
@@ -43,14 +43,14 @@
         # hosts still arrive.
         cell.network.pause(paused)
         cell.network.faults.cut.update((paused, name) for name in "abc")
-        cell.logs.faults.deaf.add(paused)
+        cell.logs.faults.no_read_replies.add(paused)
         await asyncio.sleep(3.0)
         others = [name for name in cell.daemons if name != paused]
         owners = [n for n in others if cell.daemons[n].owners]
         assert len(owners) == 1
         await cell.submit(owners[0], JOB_ID, job(step(6)))
         await asyncio.sleep(0.3)
-        cell.logs.faults.deaf.clear()
+        cell.logs.faults.no_read_replies.clear()
         cell.network.faults.cut.clear()
         cell.network.resume(paused)
         await asyncio.sleep(1.0)
@@ -65,10 +65,10 @@
 
     async def scenario(cell):
         await cell.start_daemons("a", "b")
-        cell.hosts.hosts["i-0"].how = EndKind.FAILED
+        cell.hosts.hosts["i-0"].end_kind = EndKind.FAILED
         for host in cell.hosts.hosts.values():
-            host.poison.add(bad)
-            host.work = 0.3
+            host.failing_jobs.add(bad)
+            host.task_duration_s = 0.3
         good = make_job_ids(12, 1)
         await cell.submit("a", bad, job(step(2)))
         for name in good:
@@ -78,8 +78,11 @@
         for name in good:
             await cell.wait_for_state(name, "complete")
         owner = cell.daemons[cell.owner()]
-        (book,) = [pool.book for pool in owner.owners.values()]
-        assert not book.hosts["i-1"].resting and not book.hosts["i-2"].resting
+        (pool_state,) = [pool.pool_state for pool in owner.owners.values()]
+        assert (
+            not pool_state.hosts["i-1"].is_quarantined
+            and not pool_state.hosts["i-2"].is_quarantined
+        )
 
     run_scenario(scenario)
 
@@ -87,7 +90,7 @@
 def test_gang_restarts_as_a_whole_after_lost_start():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
-        cell.hosts.hosts["i-1"].mute_starts = 1
+        cell.hosts.hosts["i-1"].unanswered_starts = 1
         gang = step(3, cpu_milli=30000, gang=True)
         await cell.submit("a", JOB_ID, job(gang))
         await cell.wait_for_state(JOB_ID, "complete")
@@ -102,7 +105,7 @@
 def test_long_running_tasks_move_off_draining_host():
     async def scenario(cell):
         for host in cell.hosts.hosts.values():
-            host.work = 1e6
+            host.task_duration_s = 1e6
         await cell.start_daemons("a", "b")
         await cell.submit("a", JOB_ID, job(step(2, long_running=True)))
         starts = await cell.wait_for_starts(2)
@@ -129,9 +132,9 @@
         await asyncio.gather(*(cell.submit("a", name, large) for name in names))
         await asyncio.sleep(0.2)
         await cell.kill(cell.owner())
-        desk = next(iter(cell.daemons.values())).desk
+        job_service = next(iter(cell.daemons.values())).job_service
         replies = await asyncio.gather(
-            *(desk.cancel(ADVISED, name, cell.deadline(5.0)) for name in names)
+            *(job_service.cancel(ADVISED, name, cell.deadline(5.0)) for name in names)
         )
         assert {reply.kind for reply in replies} == {"ok"}
         acknowledged = asyncio.get_running_loop().time()
