--- a/siskinroad/work/advice.py
+++ b/siskinroad/work/advice.py
@@ -16,16 +16,16 @@
     ----------
     tickets : dict of str to str
         Ticket by name of the host.
-    valid : float
+    valid_s : float
         Seconds from the receipt of the reply for which the tickets can be used.
     """
 
     tickets: dict[str, str]
-    valid: float
+    valid_s: float
 
 
 class Advisor(ABC):
-    """Client of the advisor, which serves one call at a time per calling daemon."""
+    """Client of the advisor, which serves one call of each daemon at a time."""
 
     @abstractmethod
     async def advise(
--- a/siskinroad/work/advice_requester.py
+++ b/siskinroad/work/advice_requester.py
@@ -1,11 +1,11 @@
 """Timing of advice requests, and the choice of hosts to request advice about.
 
-Three loads shape the rules:
+Three workloads shape the rules:
 
 - Steps whose tickets expire while they wait for capacity. The capacity is reserved
   until new tickets arrive.
-- Accelerator hosts at nine tenths of their load, which would be idle for the duration
-  of each advisor call. Tickets are renewed before the capacity becomes free.
+- Accelerator hosts that are 90 % utilized, which would be idle for the duration of each
+  advisor call. Tickets are renewed before the capacity becomes free.
 - Jobs of several short steps. Advice for the next step is requested while the one
   before it still runs.
 """
@@ -29,14 +29,14 @@
 TICKET_MARGIN = 0.2
 # Largest number of hosts in one advisor call, a limit of the platform's interface.
 MAX_HOSTS_PER_CALL = 100
-# Extra hosts to ask about when tickets are renewed, beyond those whose tickets expire.
+# Extra hosts in a renewal of tickets, beyond those whose tickets expire.
 SPARE_HOSTS = 2
 # Seconds for which capacity stays reserved beyond the expected duration of the call.
 RESERVATION_MARGIN = 0.3
-# Seconds, beyond the expected duration of the call, by which a request for tickets
-# precedes the time when they are needed.
+# Tickets are requested early by the expected duration of the call plus this margin in
+# seconds.
 EARLY_REQUEST_MARGIN = 0.15
-# Largest number of blocked steps per plan whose tickets are renewed before their
+# Largest number of blocked steps whose tickets one planning pass renews before their
 # capacity is free.
 MAX_EARLY_RENEWALS = 3
 
@@ -47,30 +47,30 @@
     Parameters
     ----------
     pool_state : PoolState
-        The pool state.
+        State of the pool whose steps need advice.
     """
 
     def __init__(self, pool_state: PoolState) -> None:
         self.pool_state = pool_state
 
-    def is_advised(
+    def check_or_request_advice(
         self, planning_pass: PlanningPass, step: StepRun, advice: Advice
     ) -> bool:
-        """Return whether the allowed hosts are known; request advice if not."""
+        """Return whether the step has tickets; request advice for new hosts if not."""
         if step.is_advice_pending:
             return bool(step.tickets)
-        unknown = [h for h in planning_pass.hosts if h.name not in step.asked_hosts]
+        unknown = [h for h in planning_pass.hosts if h.name not in step.requested_hosts]
         eligible = [h.name for h in unknown if host_can_fit(h, step)]
         if not eligible:
             return bool(step.tickets)
-        if step.asked_hosts and any(
+        if step.requested_hosts and any(
             h.name in step.tickets for h in planning_pass.hosts
         ):
             return True
         self._request_advice(planning_pass, step, advice, eligible[:MAX_HOSTS_PER_CALL])
         return False
 
-    def hosts_with_stale_tickets(
+    def find_hosts_with_stale_tickets(
         self, step: StepRun, hosts: Iterable[Host], at: float
     ) -> list[Host]:
         """Return the hosts whose tickets can no longer be used at loop time ``at``."""
@@ -96,11 +96,11 @@
     def renew_early(
         self, planning_pass: PlanningPass, step: StepRun, advice: Advice
     ) -> None:
-        """Request new tickets so that they arrive when the capacity becomes free."""
+        """Request new tickets early enough to arrive before the capacity is free."""
         if step.is_advice_pending or planning_pass.renewed_steps >= MAX_EARLY_RENEWALS:
             return
-        hosts, at = self._next_capacity(planning_pass, step)
-        stale = self.hosts_with_stale_tickets(step, hosts, at)
+        hosts, at = self._predict_next_capacity(planning_pass, step)
+        stale = self.find_hosts_with_stale_tickets(step, hosts, at)
         if not stale:
             return
         names = self._add_spare_hosts(step, stale)
@@ -108,7 +108,7 @@
             planning_pass.renewed_steps += 1
             self._request_advice(planning_pass, step, advice, names)
 
-    def _next_capacity(
+    def _predict_next_capacity(
         self, planning_pass: PlanningPass, step: StepRun
     ) -> tuple[list[Host], float]:
         """Return the hosts that will have capacity for a step, and when all have it.
@@ -119,7 +119,8 @@
         for host in planning_pass.hosts:
             if host.name in step.tickets:
                 openings += [
-                    (at, host) for at in self._capacity_times(planning_pass, step, host)
+                    (at, host)
+                    for at in self._predict_capacity_times(planning_pass, step, host)
                 ]
         openings.sort(key=lambda opening: opening[0])
         count = len(step.waiting()) if step.spec.gang else 1
@@ -128,10 +129,10 @@
             return [], planning_pass.now
         return list({h.name: h for _, h in chosen}.values()), chosen[-1][0]
 
-    def _capacity_times(
+    def _predict_capacity_times(
         self, planning_pass: PlanningPass, step: StepRun, host: Host
     ) -> list[float]:
-        """Return when a host has capacity for one, two and more tasks of a step."""
+        """Return the loop times at which a host has capacity for one more task each."""
         need = step.spec.need
         capacity = host.free_capacity(step.key, planning_pass.now)
         speed_estimates = self.pool_state.speed_estimates
@@ -161,30 +162,32 @@
                 continue
             for after in step.job.steps.values():
                 if step.number in after.spec.after:
-                    self._request_ahead(planning_pass, after, queue, queue.advice)
+                    self._request_if_ready_soon(
+                        planning_pass, after, queue, queue.advice
+                    )
 
-    def _request_ahead(
+    def _request_if_ready_soon(
         self, planning_pass: PlanningPass, step: StepRun, queue: Queue, advice: Advice
     ) -> None:
-        """Request advice for a step if all steps that it waits for are about to end."""
-        if step.is_advice_pending or step.asked_hosts:
+        """Request advice for a step if all steps that it depends on end soon."""
+        if step.is_advice_pending or step.requested_hosts:
             return
         predecessors = [step.job.steps[step.occurrence, i] for i in step.spec.after]
         eligible = [h.name for h in planning_pass.hosts if host_can_fit(h, step)][
             :MAX_HOSTS_PER_CALL
         ]
         duration = advice.duration(len(eligible)) + EARLY_REQUEST_MARGIN
-        remaining_time = max(
-            self._remaining_time(each, planning_pass.now) for each in predecessors
+        remaining_time_s = max(
+            self._remaining_time_s(each, planning_pass.now) for each in predecessors
         )
-        if eligible and remaining_time <= duration:
+        if eligible and remaining_time_s <= duration:
             self._request_advice(planning_pass, step, advice, eligible)
 
-    def _remaining_time(self, step: StepRun, now: float) -> float:
+    def _remaining_time_s(self, step: StepRun, now: float) -> float:
         """Return the estimated seconds until a step ends; infinity if unknown."""
         if step.waiting():
             return float("inf")
-        remaining_time = 0.0
+        remaining_time_s = 0.0
         for task in step.tasks:
             if task.state == "done":
                 continue
@@ -192,10 +195,10 @@
             run = host.runs.get((task.id, task.run)) if host is not None else None
             if run is None or run.state != "running":
                 return float("inf")
-            remaining_time = max(
-                remaining_time, self.pool_state.speed_estimates.remaining_s(run, now)
+            remaining_time_s = max(
+                remaining_time_s, self.pool_state.speed_estimates.remaining_s(run, now)
             )
-        return remaining_time
+        return remaining_time_s
 
     def _add_spare_hosts(self, step: StepRun, hosts: Iterable[Host]) -> list[str]:
         """Return the names of ``hosts`` and of a few others with tickets."""
@@ -212,7 +215,7 @@
         advice: Advice,
         names: Iterable[str],
     ) -> None:
-        """Request advice, unless the channels are busy; then a later plan does."""
+        """Request advice if a channel is free soon; otherwise a later pass does."""
         hosts = tuple(names)
         duration = advice.duration(len(hosts))
         if planning_pass.channels is not None and not planning_pass.channels.assign(
--- a/siskinroad/work/advisor_channels.py
+++ b/siskinroad/work/advisor_channels.py
@@ -1,7 +1,7 @@
 """Distribution of advisor calls over the channels of all live daemons.
 
 The advisor serves one call at a time for each calling daemon: each daemon is one
-channel. Two loads shape the distribution:
+channel. Two workloads shape the distribution:
 
 - Short calls for urgent steps beside long calls for gangs. A third of the daemons, by
   name, make the short calls only, so that with two daemons or more no short call waits
@@ -28,22 +28,23 @@
 # Expected duration in seconds from which an advisor call counts as long and
 # goes to a channel for long calls.
 LONG_CALL_THRESHOLD = 0.08
-# Timeout of a call once its channel is free: a multiple of its expected duration, plus
-# a margin in seconds. Both are generous, since a call that timed out still occupies its
-# channel.
+# Timeout of a call, counted from when its channel is free: this multiple of its
+# expected duration plus the margin in seconds. Both are generous, since a call that
+# timed out still occupies its channel.
 TIMEOUT_FACTOR = 3.0
 TIMEOUT_MARGIN = 1.5
-# One daemon in this many makes the short calls, which use little of a channel's time.
+# One daemon in this many makes the short calls only. These take little time, so a small
+# share of the channels is enough for them.
 DAEMONS_PER_SHORT_CHANNEL = 3
-# Longest backlog in seconds of a channel that still gets another call. At least five
-# plans a second are made, so a call that is refused soon gets another chance.
+# Largest backlog in seconds at which a channel is assigned another call. At least five
+# planning passes run per second, so a call that gets no channel is soon retried.
 MAX_CHANNEL_BACKLOG = 0.25
 
 log = logging.getLogger("siskinroad.advisor_channels")
 
 
 class ChannelTimes:
-    """Time until each channel is free, updated as one plan assigns calls.
+    """Time until each channel is free, updated as one planning pass assigns calls.
 
     Parameters
     ----------
@@ -86,7 +87,7 @@
         Client for this daemon's own channel.
     peer_calls : PeerCalls
         Requests to the other daemons, for their channels.
-    living_peers : callable
+    live_peers : callable
         Returns the names of the other live daemons.
     """
 
@@ -95,12 +96,12 @@
         node: str,
         advisor: Advisor,
         peer_calls: PeerCalls,
-        living_peers: Callable[[], list[str]],
+        live_peers: Callable[[], list[str]],
     ) -> None:
         self._node = node
         self._advisor = advisor
         self._peer_calls = peer_calls
-        self._living_peers = living_peers
+        self._live_peers = live_peers
         self._channel_free_at: dict[str, float] = {}
         self._own_channel_free_at = 0.0
         # Seeded by name: with a different order per daemon, owners that find several
@@ -112,7 +113,7 @@
         return max(0.0, self._own_channel_free_at - now)
 
     def record_backlog(self, channel: str, backlog: float, now: float) -> None:
-        """Record the backlog in seconds, from all owners, of a peer's channel."""
+        """Record a peer's backlog in seconds, which covers the calls of all owners."""
         self._channel_free_at[channel] = max(
             self._channel_free_at.get(channel, 0.0), now + backlog
         )
@@ -127,7 +128,7 @@
         step : tuple
             Job, occurrence and number of the step.
         hosts : tuple of str
-            Hosts to ask about.
+            Hosts that the step may be placed on.
         duration : float
             Expected duration of the call in seconds.
 
@@ -147,11 +148,12 @@
                 channel, step, hosts, duration, timeout
             )
         except SiskinroadError as exc:
-            # Treat the channel as busy, so that others get the next calls while it
-            # recovers.
+            # Treat the channel as busy for the length of the timeout, so that the other
+            # channels get the next calls while it recovers.
             self._channel_free_at[channel] = loop.time() + timeout
             log.warning(
-                "advisor_channels: advisor call failed",
+                "advisor_channels: advisor call failed; "
+                "other channels are preferred for the length of its timeout",
                 extra={"request": step[0], "line": channel, "error": str(exc)},
             )
             raise
@@ -169,7 +171,7 @@
         return result
 
     def channel_times(self, now: float) -> ChannelTimes:
-        """Return the time until each channel is free, for one plan."""
+        """Return the time until each channel is free, for one planning pass."""
         short, long = self._split_channels()
         return ChannelTimes(
             [self._channel_free_at.get(n, 0.0) - now for n in short],
@@ -178,7 +180,7 @@
 
     def _split_channels(self) -> tuple[list[str], list[str]]:
         """Return the channels for short and for long calls."""
-        names = sorted([self._node, *self._living_peers()])
+        names = sorted([self._node, *self._live_peers()])
         short = names[::DAEMONS_PER_SHORT_CHANNEL]
         return short, [name for name in names if name not in short] or names
 
@@ -211,7 +213,7 @@
         )
         if not reply.valid:
             raise OutcomeUnknownError(
-                "peer's advisor call failed", step="lines", peer=channel
+                "peer replied that its advisor call failed", step="lines", peer=channel
             )
         return AdviceResult(reply.tickets, reply.valid)
 
@@ -242,8 +244,9 @@
             )
         except SiskinroadError as exc:
             log.warning(
-                "advisor_channels: advisor call for a peer failed",
+                "advisor_channels: advisor call for a peer failed; "
+                "replying without tickets",
                 extra={"request": msg.job, "error": str(exc)},
             )
             return AdviceReply(msg.id, {}, 0.0)
-        return AdviceReply(msg.id, result.tickets, result.valid)
+        return AdviceReply(msg.id, result.tickets, result.valid_s)
--- a/siskinroad/work/claim.py
+++ b/siskinroad/work/claim.py
@@ -3,8 +3,8 @@
 The claim is appended to the pool's topic of accepted jobs. The term is the claim's
 offset plus one, so terms are unique and increase, and the highest term owns the pool.
 A former owner that follows the topic reads the claim before any job accepted after
-it. The append is unconditional: while the store is slow and busy, an append that
-requires a certain end of the topic would fail over and over.
+it. The append is unconditional: an append that requires the topic to end at a given
+offset would fail repeatedly while the store is slow and others append.
 """
 
 from __future__ import annotations
@@ -44,8 +44,10 @@
 ]
 
 
+# Producer name in the fence of progress records; every owner uses the same one, so that
+# the store rejects records of lower terms.
 PROGRESS_PRODUCER = "owner"
-# Time-out of one store call, in seconds. A shorter one would abort claims that are
+# Timeout of one store call, in seconds. A shorter one would abort claims that are
 # queued behind several slow appends.
 STORE_TIMEOUT = 2.5
 
@@ -53,7 +55,7 @@
 
 
 class AlreadyOwnedError(SiskinroadError):
-    """Claim refused, as the pool already has a live owner."""
+    """Failure to claim a pool that already has a live owner."""
 
 
 @dataclass(slots=True)
@@ -88,8 +90,11 @@
     hosts: HostSet | None = None
 
     @property
-    def is_former_sole_owner(self) -> bool:
-        """Whether no owner before the former one can still have runs on any host."""
+    def are_earlier_owners_reconciled(self) -> bool:
+        """Whether the former owner reconciled all runs of the owners before it.
+
+        Also true if there is no former owner.
+        """
         if self.former is None:
             return True
         hosts = self.hosts
@@ -116,7 +121,7 @@
 def apply_records(
     inherited: InheritedState, items: tuple[NewestRecord, ...], topic: str
 ) -> None:
-    """Apply records; unreadable ones are logged and skipped."""
+    """Apply records; log and skip those that cannot be decoded."""
     for item in items:
         if not item.value:
             continue
@@ -202,6 +207,9 @@
 
 
 async def release_pool(store: Store, pool: str, term: int) -> None:
-    """Store that the owner of a term has stopped all its calls to hosts."""
+    """Store the release of a pool by the owner of a term.
+
+    All its calls to hosts must have ended.
+    """
     record = record_of(Released(term))
     await store.append(job_topic(pool), [record], timeout=STORE_TIMEOUT)
--- a/siskinroad/work/claim_manager.py
+++ b/siskinroad/work/claim_manager.py
@@ -1,10 +1,10 @@
 """Claims, ownership and release of pools by this daemon.
 
-The failures that this handles:
+Failures that the manager handles:
 
 - An owner is killed: its pools are claimed as soon as that is known.
-- All daemons are killed at once: the first ones to start claim the pools, after a
-  check whether the last owner still listens.
+- All daemons are killed at once: the first ones to start claim the pools, after
+  they have probed whether the stored owner still listens.
 - Daemons stop one after another while the store is slow: the next owner waits only
   a short time for the last records.
 - A network partition heals: a daemon that was cut off from both the store and the
@@ -46,11 +46,12 @@
 # Duration in seconds of a claim's first read above which the daemon may have been cut
 # off from the network meanwhile.
 SLOW_READ_TIME = 0.7
-# Time-out in seconds, after HANDOVER_WAIT, for a leaving owner to store its last
-# records. A longer one could exceed the grace period in which the daemon must stop.
+# Timeout in seconds, counted from the end of HANDOVER_WAIT, for a leaving owner to
+# store its last records. A longer one could exceed the grace period in which the daemon
+# must stop.
 RELEASE_TIMEOUT = 1.0
-# Longest time in seconds for which the next owner waits for these records. Then the
-# other daemons are told of the release, whether it is stored or not.
+# Seconds after which a leaving owner announces the release to the other daemons, even
+# if its last records are not stored yet. A longer wait delays the next owner.
 HANDOVER_WAIT = 0.15
 
 log = logging.getLogger("siskinroad.claim_manager")
@@ -154,8 +155,8 @@
             return False
         if now - self._store_recovered_at < RECOVERY_CLAIM_DELAY:
             return False
-        age = now - self._store.direct_answer_at
-        return self._members.should_claim(pool, now, len(self._pool_tasks), age)
+        store_age = now - self._store.direct_answer_at
+        return self._members.should_claim(pool, now, len(self._pool_tasks), store_age)
 
     def note_store_recovered(self) -> None:
         """Note that the store replies to this daemon again after an outage."""
@@ -173,10 +174,10 @@
         return await self._may_be_alive(owner)
 
     async def _may_be_alive(self, owner: OwnerRecord) -> bool:
-        """Return whether the stored owner may be alive though no heartbeat came yet.
+        """Return whether the stored owner still listens, by a probe.
 
-        Only a daemon that started recently asks; later on, the owner's heartbeats
-        would have been received.
+        Only a daemon that started recently sends the probe; later on, the owner's
+        heartbeats would have been received.
         """
         if self._uptime() > OWNER_PROBE_UPTIME or owner.node == self._member.node:
             return False
@@ -198,18 +199,21 @@
         except OwnershipLostError as exc:
             event = "deposed"
             log.warning(
-                "claim_manager: ownership of pool lost",
+                "claim_manager: ownership of pool lost; its owner here has stopped",
                 extra={"pool": pool, "why": str(exc)},
             )
         except SiskinroadError as exc:
             log.warning(
-                "claim_manager: claiming or owning pool failed",
+                "claim_manager: claiming or owning pool failed; "
+                "it may be claimed again at a later check",
                 extra={"pool": pool, "why": str(exc)},
             )
         except Exception:
             event = "failed"
             log.exception(
-                "claim_manager: owner of pool failed unexpectedly", extra={"pool": pool}
+                "claim_manager: owner of pool failed unexpectedly; "
+                "it may be claimed again at a later check",
+                extra={"pool": pool},
             )
         finally:
             self._dependencies.metrics.claims.labels(event).inc()
@@ -248,8 +252,8 @@
         if owner is None:
             self._send_heartbeat()
             return
-        # All calls to hosts have ended. The next owner waits for the last records only
-        # if the store is fast: hosts list again whatever those records lack.
+        # All calls to hosts have ended. The announcement waits for the last records for
+        # HANDOVER_WAIT at most: hosts list again whatever those records lack.
         release = asyncio.get_running_loop().create_task(owner.release())
         await asyncio.wait({release}, timeout=HANDOVER_WAIT)
         self._send_heartbeat()
@@ -257,12 +261,13 @@
         if not release.done():
             release.cancel()
             log.warning(
-                "claim_manager: release of pool not stored in time",
+                "claim_manager: release of pool not stored in time; "
+                "the next owner may lack the last records",
                 extra={"pool": pool},
             )
 
     async def close(self) -> None:
-        """Stop owning all pools at once, without a release."""
+        """Stop the owners of all pools at once, without a release."""
         tasks = list(self._pool_tasks.values())
         for task in tasks:
             task.cancel()
--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -265,7 +265,7 @@
         self, items: tuple[NewestRecord, ...], is_snapshot: bool
     ) -> None:
         if is_snapshot:
-            self.members.forget_all_but({item.key for item in items})
+            self.members.remove_unlisted({item.key for item in items})
         for item in items:
             if item.value:
                 self._apply_member_record(item)
@@ -477,7 +477,7 @@
             "daemon: peer refuses connections; its process has ended",
             extra={
                 "peer": peer,
-                "silent_s": round(now - last_heartbeat.at, 2)
+                "silent_s": round(now - last_heartbeat.received_at, 2)
                 if last_heartbeat
                 else None,
                 "pools": [pool for pool, _ in owned],
--- a/siskinroad/work/effects.py
+++ b/siskinroad/work/effects.py
@@ -1,4 +1,4 @@
-"""Effects: actions that an owner's decisions request and its shell executes."""
+"""Effects: actions that the pool state requests and the pool's owner executes."""
 
 from __future__ import annotations
 
@@ -49,7 +49,7 @@
 class ReconcileHost:
     """Request to reconcile a host's runs with the owner's view.
 
-    The host is asked at once, with its raised token, what it runs.
+    The owner requests a report from the host at once, under the host's raised token.
     """
 
     host: str
--- a/siskinroad/work/headroom.py
+++ b/siskinroad/work/headroom.py
@@ -1,4 +1,4 @@
-"""Processor headroom kept free for urgent work, learned from its demand.
+"""Processor headroom reserved for urgent work, learned from its demand.
 
 Short urgent steps arrive in bursts, while long work that is not urgent fills every
 gap as soon as it opens. Stopping that work frees its processors only after the host's
@@ -13,10 +13,10 @@
 
 # Seconds in which a peak of urgent demand decays by half.
 PEAK_HALF_LIFE_S = 10.0
-# Fraction of the learned peak that is kept for urgent tasks, and the largest fraction
-# of the pool's processors that may be.
-KEPT_PEAK_FRACTION = 0.8
-MAX_KEPT_FRACTION = 0.4
+# Fraction of the learned peak that is reserved for urgent tasks.
+RESERVED_PEAK_FRACTION = 0.8
+# Largest fraction of the pool's processors that is reserved for urgent tasks.
+MAX_RESERVED_FRACTION = 0.4
 
 
 @dataclass(slots=True)
@@ -26,7 +26,7 @@
     Attributes
     ----------
     peak : float
-        Thousandths of a processor.
+        Decaying peak of the demand in thousandths of a processor.
     observed_at : float
         Loop time in seconds of the newest observation.
     """
@@ -51,6 +51,6 @@
             Thousandths of a processor that urgent tasks hold already.
         """
         desired_headroom = min(
-            self.peak * KEPT_PEAK_FRACTION, capacity * MAX_KEPT_FRACTION
+            self.peak * RESERVED_PEAK_FRACTION, capacity * MAX_RESERVED_FRACTION
         )
         return max(0.0, desired_headroom - urgent_used)
--- a/siskinroad/work/host.py
+++ b/siskinroad/work/host.py
@@ -32,12 +32,13 @@
 
 _RUN_CHART = load_chart("run")
 
+# The task of a run and the run's number.
 RunKey = tuple[TaskId, int]
 
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """One run on the host; it takes capacity until the host reports its end.
+    """Run of a task on a host; it occupies capacity until it is over.
 
     Attributes
     ----------
@@ -47,15 +48,19 @@
         Fencing token of the newest command about the run.
     commanded_at : float
         Loop time in seconds of the newest command or of its reply.
-    is_unexpected : bool
-        Found on the host although the owner did not start it.
+    is_unwanted : bool
+        Listed by the host, but not wanted by this owner, which did not start it.
     queue, declared_s, long_running
         The task's queue, its declared run time in seconds, and whether it runs until
         its job is cancelled.
     progress_at_begin : int
         Percent of progress that the checkpoint already had.
-    moved_at, reported_at : float
+    progress_changed_at, reported_at : float
         Loop time at which the progress last changed, and was last reported.
+    usage : int
+        Usage in the newest report; see ``RunStatus`` for its unit.
+    filler : bool
+        Uses only processors that other tasks leave idle.
     speed_percent : int
         Percent of full speed that the newest throttle command allows.
     """
@@ -66,10 +71,10 @@
     commanded_at: float
     step: tuple[str, int, int]
     state: str = _RUN_CHART.initial
-    is_unexpected: bool = False
+    is_unwanted: bool = False
     begun_at: float = 0.0
     progress: int = 0
-    moved_at: float = 0.0
+    progress_changed_at: float = 0.0
     reported_at: float = 0.0
     usage: int = 0
     speed_percent: int = 100
@@ -97,12 +102,12 @@
     ----------
     token : int
         Fencing token sent with every command; the host rejects lower ones.
-    settled : bool
+    is_settled : bool
         The host has replied under this owner's token, so that it is reconciled with
         the owner's view: no command of a former owner can start a task there any more.
     incarnation_ms : int
         Unix milliseconds of the start of the incarnation that replied; 0 if none has.
-    clock, clock_at : int, float
+    clock, clock_read_at : int, float
         The host's clock in milliseconds, and the loop time at which it was read.
     lease_expires_at : float
         Loop time by which every lease granted so far has certainly expired.
@@ -130,10 +135,10 @@
 
     entry: HostEntry
     token: int
-    settled: bool = False
+    is_settled: bool = False
     incarnation_ms: int = 0
     clock: int = 0
-    clock_at: float = 0.0
+    clock_read_at: float = 0.0
     lease_expires_at: float = 0.0
     replied_at: float = -1e9
     reported_at: float = 0.0
@@ -157,19 +162,19 @@
 
     @property
     def is_failing(self) -> bool:
-        """Whether the last request to the host has failed."""
+        """Whether the last request has failed, or no request has had a reply yet."""
         return self.replied_at <= 0
 
     def record_failed_request(self) -> None:
-        """Record that a request got no reply: no new work until one does."""
+        """Record that a request got no reply; new work waits for the next reply."""
         self.replied_at = -1e9
 
-    def add(self, run: Run) -> None:
+    def add_run(self, run: Run) -> None:
         """Add a run and allocate its resources."""
         self.runs[run.key] = run
         self.used = self.used + run.need
 
-    def drop(self, run: Run) -> None:
+    def remove_run(self, run: Run) -> None:
         """Remove a run and free its resources."""
         del self.runs[run.key]
         self.used = self.used - run.need
@@ -177,8 +182,8 @@
     def reply_timeout_s(self) -> float:
         """Return the timeout in seconds for a reply of the host.
 
-        The next request resolves a command without a reply, so that a long wait costs
-        more than an unnecessary request.
+        The timeout is short: a command without a reply is resolved by the next report
+        request, and an unnecessary request costs less than a longer wait.
         """
         timeout_s = MIN_REPLY_TIMEOUT_S / 2 + REPLY_TIMEOUT_FACTOR * self.reply_time_s
         return min(MAX_REPLY_TIMEOUT_S, max(MIN_REPLY_TIMEOUT_S, timeout_s))
@@ -190,11 +195,11 @@
     def lease_until(self, now: float) -> int | None:
         """Return the host's clock in milliseconds at the end of a lease granted now.
 
-        None while the host's clock is unknown.
+        Returns None while the host's clock is unknown.
         """
-        if not self.clock_at:
+        if not self.clock_read_at:
             return None
-        return int(self.clock + (now - self.clock_at + LEASE_S) * 1000)
+        return int(self.clock + (now - self.clock_read_at + LEASE_S) * 1000)
 
     def extend_lease_expiry(self, now: float) -> None:
         """Extend the expiry for a lease-granting request that is being sent."""
@@ -203,7 +208,7 @@
 
     def is_schedulable(self, now: float) -> bool:
         """Return whether new work may be placed on the host."""
-        if not self.settled or not self.is_stored:
+        if not self.is_settled or not self.is_stored:
             return False
         if self.entry.draining or self.is_quarantined:
             return False
@@ -213,10 +218,10 @@
 
     def free_capacity(self, step: tuple[str, int, int], now: float) -> Resources:
         """Return the free capacity for a step, less the reservations of other steps."""
-        left = self.entry.capacity - self.used
+        available = self.entry.capacity - self.used
         for key, (reserved_need, until) in list(self.reserved.items()):
             if until < now:
                 del self.reserved[key]
             elif key != step:
-                left = left - reserved_need
-        return left
+                available = available - reserved_need
+        return available
--- a/siskinroad/work/host_commands.py
+++ b/siskinroad/work/host_commands.py
@@ -65,7 +65,7 @@
         loop = asyncio.get_running_loop()
         async with self._semaphore(host.name):
             now = loop.time()
-            if not self.term.pool_state.may_send(host, effect.run):
+            if not self.term.pool_state.may_send_start(host, effect.run):
                 self.term.execute_effects(
                     self.term.pool_state.drop_start(host, effect.run, now)
                 )
@@ -94,7 +94,7 @@
             )
             effects = await self._send_start(host, effect.run, command)
         self.term.execute_effects(effects)
-        self.term.plan_wanted.set()
+        self.term.plan_requested.set()
 
     async def _send_start(
         self, host: Host, run: Run, command: StartCommand
@@ -133,7 +133,7 @@
                 "run": command.run,
                 "host": host.name,
                 "token": command.token,
-                "list_age_s": round(sent_at - host.clock_at, 2),
+                "list_age_s": round(sent_at - host.clock_read_at, 2),
                 "took_s": round(loop.time() - sent_at, 3),
                 "outcome": outcome,
             },
@@ -237,9 +237,9 @@
             self.term.dependencies.metrics.retries.labels("advice").inc()
             await asyncio.sleep(ADVICE_RETRY_INTERVAL)
         else:
-            until = loop.time() + result.valid
-            step.asked_hosts.update(effect.hosts)
+            until = loop.time() + result.valid_s
+            step.requested_hosts.update(effect.hosts)
             for host, ticket in result.tickets.items():
                 step.tickets[host] = (ticket, until)
         step.is_advice_pending = False
-        self.term.plan_wanted.set()
+        self.term.plan_requested.set()
--- a/siskinroad/work/job.py
+++ b/siskinroad/work/job.py
@@ -1,4 +1,4 @@
-"""Jobs, their steps and tasks, and their progress."""
+"""Jobs, their steps and tasks, and the progress that is stored of them."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 __all__ = ["Job", "JobState", "StepRun", "Task", "make_job"]
 
-_TASK = load_chart("task")
+_TASK_CHART = load_chart("task")
 
 
 class JobState:
@@ -33,7 +33,7 @@
     state : str
         State of the ``task`` chart.
     run : int
-        Highest run number used so far.
+        Highest run number used so far; 0 before the first run.
     host : str
         Host of the newest run.
     failures : set of int
@@ -45,7 +45,7 @@
     """
 
     id: TaskId
-    state: str = _TASK.initial
+    state: str = _TASK_CHART.initial
     run: int = 0
     host: str = ""
     failures: set[int] = field(default_factory=set)
@@ -60,14 +60,14 @@
 
     def move(self, event: str) -> None:
         """Apply an event of the ``task`` chart."""
-        self.state = _TASK.next(self.state, event)
+        self.state = _TASK_CHART.next(self.state, event)
 
     def allows(self, event: str) -> bool:
         """Return whether the chart has ``event`` in this state."""
-        return _TASK.allows(self.state, event)
+        return _TASK_CHART.allows(self.state, event)
 
     def make_task_progress(self) -> TaskProgress:
-        """Return the part of the task's state that is stored."""
+        """Return the task's part of the job's progress record."""
         key = self.id
         return TaskProgress(
             key.occurrence,
@@ -88,7 +88,7 @@
     ----------
     runs_by_host : dict of str to int
         Number of the step's runs that occupy capacity on each host.
-    asked_hosts : set of str
+    requested_hosts : set of str
         Hosts for which advice was requested.
     tickets : dict of str to tuple
         Ticket of each allowed host, and the loop time until which it is valid.
@@ -104,7 +104,7 @@
     spec: Step
     tasks: list[Task]
     runs_by_host: dict[str, int] = field(default_factory=dict)
-    asked_hosts: set[str] = field(default_factory=set)
+    requested_hosts: set[str] = field(default_factory=set)
     tickets: dict[str, tuple[str, float]] = field(default_factory=dict)
     is_advice_pending: bool = False
     ready_at: float = 0.0
@@ -131,7 +131,7 @@
         )
 
     def waiting(self) -> list[Task]:
-        """Return the tasks that may be placed."""
+        """Return the tasks that wait for a host."""
         return [task for task in self.tasks if task.state == "waiting"]
 
     def is_done(self) -> bool:
@@ -153,6 +153,8 @@
         Declared seconds from the start of each step to the end of the job.
     chain_length : int
         Number of steps in the longest chain of steps that depend on each other.
+    opened_occurrences : int
+        Number of occurrences whose steps exist.
     has_started : bool
         Whether any task has started.
     """
@@ -165,7 +167,7 @@
     remaining_times: list[float] = field(default_factory=list)
     chain_length: int = 1
     steps: dict[tuple[int, int], StepRun] = field(default_factory=dict)
-    opened: int = 0
+    opened_occurrences: int = 0
     outcome: str = ""
     outcome_at: float = 0.0
     stored_outcome: str = ""
@@ -182,21 +184,21 @@
             return self.stored_outcome
         return JobState.ACTIVE if self.has_started else JobState.QUEUED
 
-    def open_occurrence(self, *, settled: bool) -> list[StepRun]:
+    def open_occurrence(self, *, is_settled: bool) -> list[StepRun]:
         """Add the steps of the next occurrence.
 
         Parameters
         ----------
-        settled : bool
+        is_settled : bool
             Whether no former owner can have started any of its tasks.
         """
-        number = self.opened
-        self.opened += 1
+        number = self.opened_occurrences
+        self.opened_occurrences += 1
         added = []
         for i, spec in enumerate(self.spec.steps):
             ids = [TaskId(self.id, number, i, n) for n in range(spec.count)]
             tasks = [Task(key) for key in ids]
-            for task in tasks if not settled else ():
+            for task in tasks if not is_settled else ():
                 task.move("doubt")
             step = StepRun(self, number, i, spec, tasks)
             self.steps[number, i] = step
@@ -215,31 +217,42 @@
         dependencies = step.spec.after
         return all(self.steps[step.occurrence, i].is_done() for i in dependencies)
 
-    def progress(self) -> Progress:
+    def make_progress(self) -> Progress:
         """Return the progress record of the job's current state."""
-        notes = tuple(
+        task_progresses = tuple(
             task.make_task_progress()
             for step in self.steps.values()
             for task in step.tasks
             if (task.run or task.state == "done") and not self.outcome
         )
-        return Progress(self.id, self.outcome, self.outcome_at, notes)
+        return Progress(self.id, self.outcome, self.outcome_at, task_progresses)
 
     def restore(self, progress: Progress) -> None:
         """Restore the job from its stored progress record."""
         self.outcome = self.stored_outcome = progress.state
         self.outcome_at = progress.at
-        for note in progress.notes:
-            while self.opened <= note.occurrence < self.spec.occurrences:
-                self.open_occurrence(settled=False)
-            task = self.task(TaskId(self.id, note.occurrence, note.step, note.index))
+        for task_progress in progress.notes:
+            while (
+                self.opened_occurrences
+                <= task_progress.occurrence
+                < self.spec.occurrences
+            ):
+                self.open_occurrence(is_settled=False)
+            task = self.task(
+                TaskId(
+                    self.id,
+                    task_progress.occurrence,
+                    task_progress.step,
+                    task_progress.index,
+                )
+            )
             if task is None:
                 continue
-            task.run = note.run
-            task.failures = set(note.failed_runs)
-            task.checkpoint = note.checkpoint
+            task.run = task_progress.run
+            task.failures = set(task_progress.failed_runs)
+            task.checkpoint = task_progress.checkpoint
             self.has_started = True
-            if note.done:
+            if task_progress.done:
                 task.move("done")
 
 
--- a/siskinroad/work/job_table.py
+++ b/siskinroad/work/job_table.py
@@ -1,4 +1,4 @@
-"""Table of a pool's jobs: which steps are ready, due, late or done.
+"""Table of a pool's jobs, with their ready steps, due times and target times.
 
 Nothing here does I/O. Loop times are passed as ``now``, Unix times as ``wall``, both
 in seconds.
@@ -37,11 +37,11 @@
     ----------
     ready : dict of tuple to StepRun
         Steps whose tasks may start or run.
-    timed : set of str
+    scheduled_jobs : set of str
         Jobs with occurrences that are not due yet.
     dirty : set of str
         Jobs that have changed since they were last stored.
-    settled : bool
+    is_settled : bool
         Every run of former owners has been reconciled, so none can be running
         without this owner's knowledge.
     """
@@ -53,14 +53,14 @@
         self.queues: dict[str, Queue] = {}
         self.jobs: dict[str, Job] = {}
         self.ready: dict[tuple[str, int, int], StepRun] = {}
-        self.timed: set[str] = set()
+        self.scheduled_jobs: set[str] = set()
         self.dirty: set[str] = set()
         self.health = Health()
         self.speed_estimates = SpeedEstimates()
-        self.settled = False
+        self.is_settled = False
 
     def configure(self, configuration: Configuration) -> None:
-        """Apply a configuration; queues it no longer lists keep their last rules."""
+        """Apply a configuration; queues missing from it keep their last settings."""
         self.configuration = configuration
         for queue in configuration.queues:
             self.queues[queue.name] = queue
@@ -73,15 +73,15 @@
         is_new : bool
             Whether no former owner can have started any of its tasks.
         """
-        known = self.jobs.get(accepted.job)
-        if known is not None:
-            return known
+        existing = self.jobs.get(accepted.job)
+        if existing is not None:
+            return existing
         job = make_job(accepted)
         self.jobs[job.id] = job
         if job.spec.occurrences > 1 or job.spec.first:
-            self.timed.add(job.id)
+            self.scheduled_jobs.add(job.id)
         else:
-            job.open_occurrence(settled=is_new or self.settled)
+            job.open_occurrence(is_settled=is_new or self.is_settled)
         self._collect_ready_steps(job, now)
         return job
 
@@ -97,15 +97,15 @@
 
     def open_due(self, now: float, wall: float, max_lead: float) -> None:
         """Open occurrences that are due within ``max_lead`` seconds."""
-        for job_id in list(self.timed):
+        for job_id in list(self.scheduled_jobs):
             job = self.jobs[job_id]
-            while job.opened < job.spec.occurrences and not job.is_closed:
-                if job.spec.due(job.opened) > wall + max_lead:
+            while job.opened_occurrences < job.spec.occurrences and not job.is_closed:
+                if job.spec.due(job.opened_occurrences) > wall + max_lead:
                     break
-                job.open_occurrence(settled=self.settled)
+                job.open_occurrence(is_settled=self.is_settled)
                 self._collect_ready_steps(job, now)
-            if job.is_closed or job.opened >= job.spec.occurrences:
-                self.timed.discard(job_id)
+            if job.is_closed or job.opened_occurrences >= job.spec.occurrences:
+                self.scheduled_jobs.discard(job_id)
 
     def count_pending(self, queue: str) -> int:
         """Return the number of open jobs of a queue that have not started."""
@@ -136,12 +136,14 @@
         queue = self.queues.get(job.queue)
         if queue is None:
             return 0.0
-        chain = max(job.remaining_times) * self.speed_estimates.run_time_ratio(
+        chain_s = max(job.remaining_times) * self.speed_estimates.run_time_ratio(
             job.queue
         )
         if queue.advice is not None:
-            chain += job.chain_length * queue.advice.duration(HOSTS_PER_ADVICE_REQUEST)
-        return queue.slack * chain + queue.target
+            chain_s += job.chain_length * queue.advice.duration(
+                HOSTS_PER_ADVICE_REQUEST
+            )
+        return queue.slack * chain_s + queue.target
 
     def target_time(self, job: Job, occurrence: int = 0) -> float:
         """Return the Unix time by which an occurrence should be complete."""
@@ -158,7 +160,7 @@
         return self.step_by_key((key.job, key.occurrence, key.step))
 
     def step_by_key(self, key: tuple[str, int, int]) -> StepRun | None:
-        """Return a step by its job, occurrence and number, or None."""
+        """Return a step by its job, occurrence and number, or None if it is unknown."""
         job = self.jobs.get(key[0])
         return job.steps.get((key[1], key[2])) if job else None
 
@@ -179,7 +181,7 @@
         self._collect_ready_steps(job, now)
 
     def _complete_job_if_done(self, job: Job, wall: float) -> None:
-        if job.is_closed or job.opened < job.spec.occurrences:
+        if job.is_closed or job.opened_occurrences < job.spec.occurrences:
             return
         if all(step.is_done() for step in job.steps.values()):
             self._set_outcome(job, JobState.COMPLETE, wall)
@@ -197,6 +199,8 @@
                 "request": job.id,
                 "queue": job.queue,
                 "age_s": round(wall - job.accepted_at, 3),
-                "late_s": round(wall - self.target_time(job, job.opened - 1), 3),
+                "late_s": round(
+                    wall - self.target_time(job, job.opened_occurrences - 1), 3
+                ),
             },
         )
--- a/siskinroad/work/lease_renewer.py
+++ b/siskinroad/work/lease_renewer.py
@@ -55,7 +55,9 @@
             if not self.term.is_owner_confirmed():
                 await asyncio.sleep(RENEWAL_RETRY_INTERVAL)
                 continue
-            wait = _report_wait(host) if host.settled and not host.is_failing else 0.0
+            wait = (
+                _report_wait(host) if host.is_settled and not host.is_failing else 0.0
+            )
             if host.last_end_seen > host.last_end_stored:
                 wait = 0.0
             if not await self._renew_once(host, wait):
@@ -93,9 +95,9 @@
             host, report, token, sent_at, now, wall
         )
         self.term.execute_effects(effects)
-        settled = self.term.pool_state.settle_tasks(now)
-        if settled or report.ended or report.running:
-            self.term.plan_wanted.set()
+        has_settled_tasks = self.term.pool_state.settle_tasks(now)
+        if has_settled_tasks or report.ended or report.running:
+            self.term.plan_requested.set()
         return True
 
     def _note_call_failed(self, host: Host, exc: Exception) -> None:
@@ -126,7 +128,7 @@
 
     async def _wait_until_stored(self, host: Host) -> None:
         """Wait briefly until the ends that a host has listed are stored."""
-        self.term.store_wanted.set()
+        self.term.store_requested.set()
         until = asyncio.get_running_loop().time() + END_STORED_TIMEOUT
         while host.last_end_seen > host.last_end_stored:
             left = until - asyncio.get_running_loop().time()
@@ -151,7 +153,7 @@
             ):
                 return
             if self.term.is_owner_confirmed() and await self._renew_once(host, 0.0):
-                self.term.plan_wanted.set()
+                self.term.plan_requested.set()
                 return
             await asyncio.sleep(RECONCILE_RETRY_INTERVAL)
 
--- a/siskinroad/work/members.py
+++ b/siskinroad/work/members.py
@@ -33,7 +33,7 @@
     """Newest heartbeat of a daemon and the loop time of its receipt."""
 
     heartbeat: Heartbeat
-    at: float
+    received_at: float
 
 
 @dataclass(slots=True)
@@ -46,6 +46,10 @@
         This daemon's name.
     incarnation : int
         This daemon's incarnation; a later incarnation has a higher number.
+    known : dict of str to Member
+        Members listed in the store, by name.
+    last_heartbeats : dict
+        Newest heartbeat of each other daemon, by name.
     released_at : dict of str to float
         Loop time at which a pool's owner released it or its process ended, by pool.
     """
@@ -64,18 +68,18 @@
         self.known[member.node] = member
         return True
 
-    def forget_all_but(self, nodes: set[str]) -> None:
+    def remove_unlisted(self, listed: set[str]) -> None:
         """Remove members that are no longer listed in the store."""
-        for node in [n for n in self.known if n not in nodes]:
+        for node in [n for n in self.known if n not in listed]:
             del self.known[node]
 
     def record_heartbeat(self, heartbeat: Heartbeat, now: float) -> None:
         """Apply a heartbeat, unless it is from an earlier incarnation."""
         previous = self.last_heartbeats.get(heartbeat.node)
         if previous is not None and heartbeat.is_leaving:
-            kept = {pool for pool, _ in heartbeat.owned}
+            still_owned = {pool for pool, _ in heartbeat.owned}
             for pool, _ in previous.heartbeat.owned:
-                if pool not in kept:
+                if pool not in still_owned:
                     self.released_at[pool] = now
         if previous is None or previous.heartbeat.incarnation <= heartbeat.incarnation:
             self.last_heartbeats[heartbeat.node] = _LastHeartbeat(heartbeat, now)
@@ -95,11 +99,11 @@
         return [node for node in self.known if node != self.node]
 
     def live_members(self, now: float) -> list[str]:
-        """Return the other live daemons that are not leaving, sorted by name."""
+        """Return the sorted names of the other live daemons that are not leaving."""
         return sorted(
             node
             for node, last_heartbeat in self.last_heartbeats.items()
-            if now - last_heartbeat.at <= HEARTBEAT_TIMEOUT
+            if now - last_heartbeat.received_at <= HEARTBEAT_TIMEOUT
             and not last_heartbeat.heartbeat.is_leaving
             and node != self.node
         )
@@ -108,7 +112,8 @@
         """Return whether a daemon, leaving or not, sent a heartbeat recently."""
         last_heartbeat = self.last_heartbeats.get(node)
         return (
-            last_heartbeat is not None and now - last_heartbeat.at <= HEARTBEAT_TIMEOUT
+            last_heartbeat is not None
+            and now - last_heartbeat.received_at <= HEARTBEAT_TIMEOUT
         )
 
     def has_later_incarnation(self, node: str, incarnation: int) -> bool:
@@ -122,10 +127,10 @@
         )
 
     def owner(self, pool: str, now: float) -> str | None:
-        """Return the live daemon that owns a pool under the highest term."""
+        """Return the live daemon that owns a pool under the highest term, or None."""
         best: tuple[int, str] | None = None
         for node, last_heartbeat in self.last_heartbeats.items():
-            if now - last_heartbeat.at > OWNER_HEARTBEAT_TIMEOUT:
+            if now - last_heartbeat.received_at > OWNER_HEARTBEAT_TIMEOUT:
                 continue
             for name, term in last_heartbeat.heartbeat.owned:
                 if name == pool and (best is None or (term, node) > best):
@@ -133,14 +138,14 @@
         return best[1] if best else None
 
     def claimant(self, pool: str, now: float) -> str | None:
-        """Return another live daemon that is claiming the pool.
+        """Return another live daemon that is claiming the pool, or None.
 
-        A claim takes seconds while the store is slow; a second one would take
-        the pool from the first claimant.
+        A claim takes seconds while the store is slow; a second claim would depose the
+        first claimant.
         """
         for node in self.live_members(now):
             last_heartbeat = self.last_heartbeats[node]
-            is_fresh = now - last_heartbeat.at <= OWNER_HEARTBEAT_TIMEOUT
+            is_fresh = now - last_heartbeat.received_at <= OWNER_HEARTBEAT_TIMEOUT
             if is_fresh and pool in last_heartbeat.heartbeat.claiming:
                 return node
         return None
@@ -174,15 +179,16 @@
     def should_claim(self, pool: str, now: float, owned: int, store_age: float) -> bool:
         """Return whether this daemon should claim a pool that has no owner.
 
-        The daemon that owns the fewest pools comes first; ties go to the lowest hash
-        for the pool. So all daemons choose the same one.
+        Of the daemons that reach the store, the one that owns the fewest pools claims;
+        ties go to the lowest hash for the pool. So all daemons choose the same one.
         """
         if store_age > MAX_STORE_AGE:
             return False
         own = (owned, _rank(pool, self.node))
         for node in self.members_reaching_store(now):
             heartbeat = self.last_heartbeats[node].heartbeat
-            # A daemon that has just started defers to others, but others not to it.
+            # A daemon that has just started cannot claim yet: if others deferred to it,
+            # the pool would stay without an owner.
             if not heartbeat.can_claim:
                 continue
             if (len(heartbeat.owned), _rank(pool, node)) < own:
--- a/siskinroad/work/model.py
+++ b/siskinroad/work/model.py
@@ -32,7 +32,7 @@
     after : tuple of int
         Indices of earlier steps whose tasks must all succeed first.
     gang : bool
-        The tasks work only together: either all run or none.
+        The tasks work only together: either all or none of them run.
     one_rack : bool
         The gang is slower by ``Timing.remote_factor`` if it spans several racks.
     label : str
@@ -123,22 +123,22 @@
 
 @dataclass(slots=True, frozen=True)
 class Advice:
-    """Rule of a queue that an external advisor names the hosts that a step may use.
+    """Rule that the steps of a queue run only on hosts that the advisor allows.
 
     Attributes
     ----------
     base, per_host : float
         Seconds that one request takes, and further seconds for each host in it.
-    valid : float
+    valid_s : float
         Seconds for which a ticket is valid.
     """
 
     base: float
     per_host: float
-    valid: float
+    valid_s: float
 
     def duration(self, hosts: int) -> float:
-        """Return the seconds that a request about this number of hosts takes."""
+        """Return the seconds that a request about ``hosts`` hosts takes."""
         return self.base + self.per_host * hosts
 
 
@@ -155,9 +155,10 @@
     priority : int
         Order among queues; 0 is the most urgent.
     max_attempts : int
-        Maximum number of runs of one task that may fail through its own fault.
+        Number of failed runs of one task at which its job fails, unless the step is
+        long-running.
     slack : float
-        Multiple of the job's expected length that its target time allows.
+        Multiple of the job's expected duration that its target time allows.
     target : float
         Seconds that the target time allows in addition.
     """
@@ -176,7 +177,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Configuration:
-    """Version of the operators' configuration."""
+    """One version of the operators' configuration; ``max_body`` is in bytes."""
 
     version: int
     queues: tuple[Queue, ...]
@@ -239,7 +240,7 @@
     max_lease_s: float = 10.0
     stop_grace_s: float = 1.0
     gang_wait_s: float = 3.0
-    status_kept_s: float = 120.0
+    status_retention_s: float = 120.0
     drain_s: float = 2.5
     remote_factor: float = 2.0
     throttle_delay_s: float = 0.1
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -80,7 +80,7 @@
         self.lease_renewer = LeaseRenewer(self.term, self.progress)
         self._rechecked_at = -1e9
         self.former = inherited.former
-        self._is_former_sole_owner = inherited.is_former_sole_owner
+        self._are_earlier_owners_reconciled = inherited.are_earlier_owners_reconciled
         self._is_former_released = inherited.released_term >= inherited.former_term
         self._load_inherited(inherited)
         self.follower = Follower(
@@ -95,11 +95,13 @@
         now, wall = loop.time(), self.dependencies.wall()
         pool_state = self.pool_state
         if inherited.former is None:
-            pool_state.settled = True
+            pool_state.is_settled = True
         else:
-            pool_state.settled = False
+            pool_state.is_settled = False
             names = inherited.hosts.names if inherited.hosts else ()
-            pool_state.expect_hosts(names, now + OWNERSHIP_TIMEOUT_S + LEASE_S * 1.1)
+            pool_state.set_former_owner_hosts(
+                names, now + OWNERSHIP_TIMEOUT_S + LEASE_S * 1.1
+            )
             self._check_former_owner(now)
         for accepted in inherited.accepted.values():
             pool_state.accept(accepted, now, wall, is_new=False)
@@ -122,7 +124,7 @@
     def _check_former_owner(self, now: float) -> None:
         """Shorten the wait for silent hosts once the former owner has stopped."""
         former = self.former
-        if former is None or not self._is_former_sole_owner:
+        if former is None or not self._are_earlier_owners_reconciled:
             return
         later = self.dependencies.has_later_incarnation(former.node, former.incarnation)
         if self._is_former_released or later:
@@ -193,7 +195,7 @@
     def configure(self, configuration: Configuration) -> None:
         """Apply a configuration."""
         self.pool_state.configure(configuration)
-        self.term.plan_wanted.set()
+        self.term.plan_requested.set()
 
     def apply_host_list(self, entries: dict[str, HostEntry]) -> None:
         """Apply the live host list."""
@@ -206,7 +208,7 @@
             listed = entries.get(name)
             if listed is None or listed.pool != self.pool:
                 self.pool_state.note_host_unlisted(name, now)
-        self.term.plan_wanted.set()
+        self.term.plan_requested.set()
 
     # Accepted jobs
 
@@ -219,7 +221,7 @@
         for item in items:
             if item.value:
                 self._apply_record(item, now, wall)
-        self.term.plan_wanted.set()
+        self.term.plan_requested.set()
 
     def _check_claims(self, items: tuple[NewestRecord, ...]) -> None:
         """Raise before any job is accepted that was stored after a later claim."""
@@ -258,16 +260,16 @@
                     )
             case Cancelled(job=job):
                 self._execute_effects(self.pool_state.cancel(job, now, wall))
-                self.term.store_wanted.set()
+                self.term.store_requested.set()
 
     # Planning
 
     async def _run_planning(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await self.term.plan_wanted.wait()
+            await self.term.plan_requested.wait()
             await asyncio.sleep(PLAN_DELAY)
-            self.term.plan_wanted.clear()
+            self.term.plan_requested.clear()
             if not self.term.is_owner_confirmed():
                 continue
             now, wall = loop.time(), self.dependencies.wall()
@@ -288,8 +290,8 @@
             effects += self.run_monitor.check_runs(now, wall)
             self._execute_effects(effects)
             if self.progress.has_unstored_changes:
-                self.term.store_wanted.set()
-            self.term.plan_wanted.set()
+                self.term.store_requested.set()
+            self.term.plan_requested.set()
 
     def _execute_effects(self, effects: list[Effect]) -> None:
         for effect in effects:
@@ -305,7 +307,7 @@
                 case RequestAdvice():
                     self.term.spawn(self.host_commands.request_advice(effect))
         if self.pool_state.dirty:
-            self.term.store_wanted.set()
+            self.term.store_requested.set()
 
     # Requests from callers
 
@@ -347,7 +349,7 @@
         now, wall = asyncio.get_running_loop().time(), self.dependencies.wall()
         waiter = self.progress.get_stored_event(job_id)
         self._execute_effects(self.pool_state.cancel(job_id, now, wall))
-        self.term.store_wanted.set()
+        self.term.store_requested.set()
         try:
             async with asyncio.timeout(timeout):
                 await waiter.wait()
--- a/siskinroad/work/planner.py
+++ b/siskinroad/work/planner.py
@@ -32,20 +32,21 @@
 
 __all__ = ["Planner"]
 
-# Fraction of its predicted time in which a step may already end: declared times are
-# rough, and a larger value calls steps late that can still meet their target time.
+# Least fraction of its predicted time in which a step may reach the end of its job.
+# Declared times are rough: a larger value counts steps as late that can still meet
+# their target time.
 EARLIEST_END_FRACTION = 0.8
-# Multiple of the time that its target time allows after which a job has no value left
-# for its users.
+# A job has no value left for its users once it has taken this multiple of its allowed
+# time.
 WORTHLESS_FACTOR = 3.0
 # Demand of other steps, as a fraction of a host's capacity, that adds one to the
 # host's cost.
 DEMAND_QUANTUM = 0.5
 # Largest fraction of a pool's hosts from which a blocked step may exclude later steps.
 MAX_EXCLUDED_FRACTION = 0.5
-# Seconds of work left up to which a run is not preempted: stopping it and starting it
-# from its checkpoint take nearly as long.
-MIN_PREEMPTED_S = 1.5
+# Remaining seconds of work up to which a run is not preempted: stopping it and starting
+# it from its checkpoint take nearly as long.
+MIN_PREEMPTIBLE_S = 1.5
 # Highest run number that may be preempted; it bounds how often one task is stopped.
 MAX_PREEMPTIBLE_RUN = 4
 
@@ -69,7 +70,9 @@
     def plan(
         self, now: float, wall: float, channels: ChannelTimes | None = None
     ) -> list[Effect]:
-        """Start the tasks that fit, most urgent step first, and request advice.
+        """Place the tasks that fit, most urgent step first.
+
+        Returns the starts, the stops of preempted runs, and the advice requests.
 
         Parameters
         ----------
@@ -151,7 +154,7 @@
         if step.spec.gang and len(waiting) < len(step.tasks):
             return
         advice = queue.advice
-        if advice is not None and not self.advice_requester.is_advised(
+        if advice is not None and not self.advice_requester.check_or_request_advice(
             planning_pass, step, advice
         ):
             return
@@ -184,9 +187,9 @@
             hosts = [h for h in hosts if h.name in step.tickets]
         hosts = [h for h in hosts if h.name not in planning_pass.excluded_hosts]
         placement = TentativePlacement()
-        bounded = queue.priority > 0 and not step.spec.long_running
+        is_bounded = queue.priority > 0 and not step.spec.long_running
         non_urgent_cpu_milli = (
-            planning_pass.non_urgent_cpu_milli if bounded else float("inf")
+            planning_pass.non_urgent_cpu_milli if is_bounded else float("inf")
         )
         available_by_host = {
             h.name: h.free_capacity(step.key, planning_pass.now) for h in hosts
@@ -242,13 +245,13 @@
     ) -> None:
         """Exclude later steps from the hosts that will fit a blocked large step first.
 
-        Only one step per plan does so, the most urgent that can still meet its
-        target time: hosts kept for several steps at once would mostly be idle.
+        Only one step per planning pass does so, the most urgent that can still meet
+        its target time: hosts held back for several steps would mostly be idle.
         """
-        large = step.spec.gang or is_large(planning_pass, step)
+        is_large_or_gang = step.spec.gang or is_large(planning_pass, step)
         if (
             planning_pass.excluded_hosts
-            or not large
+            or not is_large_or_gang
             or self._rank_step(step, planning_pass.wall)[1]
         ):
             return
@@ -271,7 +274,7 @@
     def _preempt_runs(
         self, planning_pass: PlanningPass, step: StepRun, host: Host, queue: Queue
     ) -> None:
-        """Stop less urgent runs on a host that can resume from a checkpoint elsewhere.
+        """Stop less urgent runs on a host, to resume from a checkpoint elsewhere.
 
         Stops only as many as the step needs to fit, and only runs that would hold
         their resources for clearly longer than a stop takes.
@@ -308,7 +311,7 @@
         return (
             run.state == "running"
             and is_below_run_limit
-            and remaining_s > MIN_PREEMPTED_S
+            and remaining_s > MIN_PREEMPTIBLE_S
         )
 
     # Start commands
@@ -323,7 +326,7 @@
         stale: list[Host] = []
         if queue.advice is not None:
             hosts = [host for _, host in placement.chosen]
-            stale = self.advice_requester.hosts_with_stale_tickets(
+            stale = self.advice_requester.find_hosts_with_stale_tickets(
                 step, hosts, planning_pass.now
             )
             if stale and step.spec.gang:
@@ -358,7 +361,7 @@
         task.move("order")
         host.reserved.pop(step.key, None)
         planning_pass.non_urgent_cpu_milli -= step.spec.need.cpu_milli
-        host.add(run)
+        host.add_run(run)
         step.runs_by_host[host.name] = step.runs_by_host.get(host.name, 0) + 1
         ticket = step.tickets.get(host.name, ("", 0.0))[0]
         payload = step.job.spec.payload
@@ -379,9 +382,9 @@
         names = [name for name in step.tickets if name in demand]
         if not names:
             continue
-        count = len(step.waiting()) / len(names)
+        tasks_per_host = len(step.waiting()) / len(names)
         for name in names:
-            demand[name] += count * step.spec.need.dominant(capacities[name])
+            demand[name] += tasks_per_host * step.spec.need.dominant(capacities[name])
     return demand
 
 
@@ -425,13 +428,13 @@
             host.name, 0
         )
         return (rack_penalty, best_effort_runs, same_step_runs, -available.cpu_milli)
-    # Hosts that other steps need more are left to them. The tightest gap is filled
+    # Hosts in greater demand by other steps are avoided. The smallest gap is filled
     # first, so that whole hosts stay free for large tasks.
     other_demand = _compute_other_demand(planning_pass, step, host)
-    cpu_left = available.cpu_milli - spec.need.cpu_milli
+    remaining_cpu_milli = available.cpu_milli - spec.need.cpu_milli
     return (
         rack_penalty,
         other_demand,
         available.accelerators - spec.accelerators,
-        cpu_left,
+        remaining_cpu_milli,
     )
--- a/siskinroad/work/planning_pass.py
+++ b/siskinroad/work/planning_pass.py
@@ -1,4 +1,4 @@
-"""Working state of one planning pass over a pool, and checks of what fits where."""
+"""Working state of one planning pass over a pool, and its checks of hosts and steps."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
     demand : dict of str to float
         Demand of the waiting steps for each host, in whole hosts.
     non_urgent_cpu_milli : float
-        Thousandths of a processor that steps that are not urgent may still take.
+        Thousandths of a processor still available to steps that are not urgent.
     excluded_hosts : set of str
-        Hosts that are kept for a blocked large step.
+        Hosts that a blocked large step withholds from the steps after it.
     renewed_steps : int
         Number of blocked steps whose tickets this pass renews.
     channels : ChannelTimes or None
@@ -61,7 +61,7 @@
 
 @dataclass(slots=True)
 class TentativePlacement:
-    """Tentative placement: hosts chosen for tasks of a step, before any is started.
+    """Hosts chosen for the tasks of a step, before any task is started.
 
     Attributes
     ----------
@@ -113,7 +113,8 @@
         host.entry.capacity for host in planning_pass.hosts if host_can_fit(host, step)
     ]
     return any(
-        step.spec.need.dominant(total) >= LARGE_TASK_FRACTION for total in capacities
+        step.spec.need.dominant(host_capacity) >= LARGE_TASK_FRACTION
+        for host_capacity in capacities
     )
 
 
--- a/siskinroad/work/pool_state.py
+++ b/siskinroad/work/pool_state.py
@@ -57,7 +57,7 @@
                 step.tickets.pop(host.name, None)
         return self._end_run(host, run, rejection.value, now)
 
-    def may_send(self, host: Host, run: Run) -> bool:
+    def may_send_start(self, host: Host, run: Run) -> bool:
         """Return whether a start that is still unsent may be sent."""
         return host.runs.get(run.key) is run and run.state == "ordered"
 
@@ -103,10 +103,10 @@
         if host.incarnation_ms and report.incarnation_ms != host.incarnation_ms:
             effects += self._handle_restart(host, now)
         host.incarnation_ms = report.incarnation_ms
-        host.clock, host.clock_at = report.clock, now
+        host.clock, host.clock_read_at = report.clock, now
         host.replied_at = host.reported_at = now
-        if not host.settled:
-            host.settled = True
+        if not host.is_settled:
+            host.is_settled = True
             # A former owner may have renewed the lease just before this report.
             host.extend_lease_expiry(now)
             log.info(
@@ -250,7 +250,8 @@
         if verdict is not None and verdict.event == "eject":
             host.is_quarantined = True
             log.warning(
-                "pool_state: host quarantined: too many of its runs failed",
+                "pool_state: host quarantined: too many of its runs failed; "
+                "it gets no new work",
                 extra={"host": host.name},
             )
         queue = self.queues.get(job.queue)
@@ -267,25 +268,25 @@
         self, host: Host, running: tuple[RunStatus, ...], now: float
     ) -> list[Effect]:
         effects: list[Effect] = []
-        for row in running:
-            run = host.runs.get((row.task, row.run))
+        for status in running:
+            run = host.runs.get((status.task, status.run))
             if run is None:
-                run, more = self._adopt_run(host, row, now)
-                effects += more
+                run, adopt_effects = self._adopt_run(host, status, now)
+                effects += adopt_effects
             elif run.state in ("ordered", "withdrawn", "doubtful"):
                 run.commanded_at = now
                 run.move("list")
                 self._mark_begun(host, run, now)
                 if run.state == "running" and self._is_job_closed(run):
                     effects += self.stop(host, run, "job is closed")
-            if run.progress != row.progress or not run.moved_at:
-                run.progress = row.progress
-                run.moved_at = now
+            if run.progress != status.progress or not run.progress_changed_at:
+                run.progress = status.progress
+                run.progress_changed_at = now
             run.reported_at = now
-            run.usage = row.usage
-            task = self.task(row.task)
-            if task is not None and row.checkpoint and row.run == task.run:
-                task.checkpoint = row.checkpoint
+            run.usage = status.usage
+            task = self.task(status.task)
+            if task is not None and status.checkpoint and status.run == task.run:
+                task.checkpoint = status.checkpoint
         return effects
 
     def _is_job_closed(self, run: Run) -> bool:
@@ -293,36 +294,36 @@
         return job is None or job.is_closed
 
     def _adopt_run(
-        self, host: Host, row: RunStatus, now: float
+        self, host: Host, status: RunStatus, now: float
     ) -> tuple[Run, list[Effect]]:
         """Add a listed run that this owner did not start; stop it if unwanted."""
-        step = self.step(row.task)
-        task = step.job.task(row.task) if step else None
+        step = self.step(status.task)
+        task = step.job.task(status.task) if step else None
         if step is not None and task is not None:
-            run = step.make_run(task, row.run, host.token, now)
+            run = step.make_run(task, status.run, host.token, now)
         else:
             # The needs of an unknown run are not known: assume the whole host.
-            key = (row.task.job, row.task.occurrence, row.task.step)
+            key = (status.task.job, status.task.occurrence, status.task.step)
             host_capacity = host.entry.capacity
-            run = Run((row.task, row.run), host_capacity, host.token, now, key)
+            run = Run((status.task, status.run), host_capacity, host.token, now, key)
         run.move("list")
-        run.progress = run.progress_at_begin = row.progress
-        run.moved_at = now
+        run.progress = run.progress_at_begin = status.progress
+        run.progress_changed_at = now
         run.begun_at = now
-        host.add(run)
+        host.add_run(run)
         is_wanted = (
             step is not None
             and task is not None
             and not step.job.is_closed
             and task.state in ("unsettled", "waiting")
-            and row.run >= task.run
+            and status.run >= task.run
         )
         if step is not None:
             step.runs_by_host[host.name] = step.runs_by_host.get(host.name, 0) + 1
         if not is_wanted or step is None or task is None:
-            run.is_unexpected = True
+            run.is_unwanted = True
             return run, self.stop(host, run, "not wanted")
-        task.run = row.run
+        task.run = status.run
         task.host = host.name
         task.move("adopt")
         step.job.has_started = True
@@ -331,7 +332,7 @@
     def _end_absent_runs(
         self, host: Host, report: HostReport, token: int, sent_at: float, now: float
     ) -> list[Effect]:
-        listed = {(row.task, row.run) for row in report.running}
+        listed = {(status.task, status.run) for status in report.running}
         effects: list[Effect] = []
         for key, run in list(host.runs.items()):
             if key in listed:
--- a/siskinroad/work/progress.py
+++ b/siskinroad/work/progress.py
@@ -72,7 +72,7 @@
 
     def get_stored_event(self, job_id: str) -> asyncio.Event:
         """Return an event that is set once the job's outcome is stored."""
-        self.term.store_wanted.set()
+        self.term.store_requested.set()
         return self._waiters.setdefault(job_id, asyncio.Event())
 
     async def run(self) -> None:
@@ -84,8 +84,8 @@
             A later term has fenced this one.
         """
         while True:
-            await self.term.store_wanted.wait()
-            self.term.store_wanted.clear()
+            await self.term.store_requested.wait()
+            self.term.store_requested.clear()
             try:
                 await self.flush()
             except (StoreUnavailableError, StoreUnknownError) as exc:
@@ -93,7 +93,7 @@
                     "progress: append failed; retrying",
                     extra={"pool": self.term.pool, "error": str(exc)},
                 )
-                self.term.store_wanted.set()
+                self.term.store_requested.set()
                 await asyncio.sleep(FLUSH_RETRY_INTERVAL)
                 continue
             except FencedError as exc:
@@ -104,10 +104,10 @@
 
     def _host_set(self) -> HostSet:
         known = set(self.term.pool_state.hosts)
-        if not self.term.pool_state.settled:
-            known |= self.term.pool_state.waiting_for_hosts
+        if not self.term.pool_state.is_settled:
+            known |= self.term.pool_state.former_owner_hosts
         return HostSet(
-            tuple(sorted(known)), self.term.number, self.term.pool_state.settled
+            tuple(sorted(known)), self.term.number, self.term.pool_state.is_settled
         )
 
     async def flush(self) -> None:
@@ -131,7 +131,7 @@
         self._batch = None
         self._mark_stored(batch)
         if self.term.pool_state.dirty:
-            self.term.store_wanted.set()
+            self.term.store_requested.set()
 
     def _make_batch(self) -> _Batch:
         changed = list(self.term.pool_state.dirty)[:MAX_RECORDS_PER_APPEND]
@@ -141,7 +141,7 @@
             for job in changed
             if job in self.term.pool_state.jobs
         ]
-        records = [record_of(job.progress()) for job in jobs]
+        records = [record_of(job.make_progress()) for job in jobs]
         hosts = self._host_set()
         if hosts != self._stored_hosts:
             records.append(record_of(hosts))
--- a/siskinroad/work/run_monitor.py
+++ b/siskinroad/work/run_monitor.py
@@ -1,7 +1,7 @@
-"""Run monitor: acts on stalled, slow and silent hosts, and throttles best-effort tasks.
+"""Monitor of stalled, slow and silent hosts and runs, and of best-effort tasks.
 
-- Runs that make no progress on a host that still answers requests are stopped, so that
-  they restart elsewhere.
+- Runs that make no progress on a host that still replies to requests are stopped, so
+  that they restart elsewhere.
 - Tasks on a host that becomes silent or slow get a speculative copy on another host,
   where their step allows copies, before it is certain that the first run is lost.
 - Runs that will not end before a draining host leaves are stopped and restart elsewhere
@@ -23,8 +23,8 @@
 
 __all__ = ["RunMonitor"]
 
-# Seconds without progress after which a run counts as stalled. A host that has not
-# answered for this long is not judged: its listed progress is too old.
+# Seconds without progress after which a run counts as stalled. Runs on a host that has
+# not replied for this long are not judged: their listed progress is too old.
 STALL_TIMEOUT_S = 2.5
 # Number of runs stalled on one host at the same time that puts it in quarantine.
 QUARANTINE_STALLED_RUNS = 2
@@ -38,32 +38,36 @@
 # Largest fraction of the hosts in quarantine at once: if more of them look bad, the
 # cause is the load, not the hosts.
 MAX_QUARANTINED_FRACTION = 0.4
-# A task is moved off a slow host only if its remaining time is more than this multiple
-# of a restart elsewhere; the overhead in seconds covers advice and the new start. Runs
-# with a number above the last bound are not moved again.
+# A task is moved off a slow host only if its remaining time there is more than this
+# multiple of the time that a restart elsewhere takes.
 MIN_MOVE_GAIN = 1.3
+# Seconds that advice and the new start add to a restart elsewhere.
 MOVE_OVERHEAD_S = 0.3
+# Highest run number that is moved off a slow host; it bounds how often a task is moved.
 MAX_MOVABLE_RUN = 3
-# Seconds without a report from a host whose last request failed, and least seconds
-# without progress, after which a task gets a speculative copy where that is allowed.
+# Seconds without a report, from a host whose last request failed, after which its tasks
+# get speculative copies where their step allows them.
 COPY_SILENCE_S = 0.7
+# Least seconds without progress after which a task gets a speculative copy.
 COPY_STALL_S = 1.0
-# A slow run gets a speculative copy if its extrapolated time is above the first
-# multiple of the expected time, and its remaining time above the second.
+# A slow run gets a speculative copy if its extrapolated time is more than the first of
+# these multiples of its expected time, and its remaining time more than the second.
 COPY_RATIO = 3.0
 MIN_COPY_GAIN = 1.5
-# A run with checkpoints is stopped unless it ends this many seconds before a draining
-# host leaves; other runs may end this many seconds after it, because hosts mostly stay
-# a little longer than announced. Long-running tasks are stopped only when the stop
-# grace and the margin are left: they are away equally long whenever they move.
+# A run with checkpoints is stopped unless it ends at least this many seconds before a
+# draining host leaves. Long-running tasks are stopped only when the stop grace and this
+# margin remain: they are down for the same time whenever they move.
 LEAVE_MARGIN_S = 0.3
+# A run without checkpoints may end up to this many seconds after its host is to leave:
+# hosts mostly stay a little longer than announced.
 LEAVE_OVERSTAY_S = 1.0
-# Fractions of the bound on a response tail above which best-effort tasks are slowed
-# down, and below which they may speed up again; the factor applied to their allowed
-# speed, and the percentage points added to it.
+# Fractions of the bound on a response tail above which the best-effort tasks beside it
+# are throttled further, and below which they are throttled less.
 THROTTLE_ABOVE = 0.75
 UNTHROTTLE_BELOW = 0.5
+# Factor on the allowed speed of best-effort tasks each time they are throttled further.
 THROTTLE_FACTOR = 0.5
+# Percentage points added to their allowed speed each time they are throttled less.
 UNTHROTTLE_STEP = 10
 # Seconds between two changes of the throttle on a host. Hosts report the tail of the
 # last half second: after a shorter wait, the figure still covers the old throttle.
@@ -85,7 +89,7 @@
         """Check every host and return the commands that stop or throttle its runs."""
         effects: list[Effect] = []
         for host in list(self.pool_state.hosts.values()):
-            self._copy_late_tasks(host, now)
+            self._allow_copies(host, now)
             effects += self._stop_stalled_runs(host, now)
             effects += self._move_off_slow_host(host, now)
             effects += self._stop_before_leave(host, now)
@@ -93,8 +97,8 @@
             self._end_quarantine(host, now)
         return effects
 
-    def _copy_late_tasks(self, host: Host, now: float) -> None:
-        """Request speculative copies of tasks whose runs are late or silent."""
+    def _allow_copies(self, host: Host, now: float) -> None:
+        """Allow speculative copies of tasks whose runs are slow, stalled or silent."""
         for run in list(host.runs.values()):
             step = self.pool_state.step(run.key[0])
             if run.state != "running" or step is None or not step.spec.copies:
@@ -104,21 +108,25 @@
                 self.pool_state.allow_copy(host, run, reason, now)
 
     def _find_copy_reason(self, host: Host, run: Run, now: float) -> str:
-        """Return why a run needs a speculative copy; empty if it needs none."""
+        """Return the reason for a speculative copy of a run's task; empty if none."""
         if host.is_failing and now - host.reported_at > COPY_SILENCE_S:
-            return "host does not answer"
+            return "host does not reply"
         expected_s = self.pool_state.speed_estimates.expected_s(
             run.queue, run.declared_s
         )
-        ratio = self.pool_state.speed_estimates.ratio(run)
+        slowdown = self.pool_state.speed_estimates.slowdown(run)
         if expected_s is None:
             return ""
-        stalled_s = now - run.moved_at if run.moved_at else 0.0
+        stalled_s = now - run.progress_changed_at if run.progress_changed_at else 0.0
         if run.progress < 100 and stalled_s > max(COPY_STALL_S, 2 * expected_s / 100):
             return "no progress"
-        left_s = self.pool_state.speed_estimates.remaining_s(run, now)
-        slow = ratio is not None and ratio > COPY_RATIO
-        return "slow" if slow and left_s > MIN_COPY_GAIN * expected_s else ""
+        estimated_remaining_s = self.pool_state.speed_estimates.remaining_s(run, now)
+        is_slow = slowdown is not None and slowdown > COPY_RATIO
+        return (
+            "slow"
+            if is_slow and estimated_remaining_s > MIN_COPY_GAIN * expected_s
+            else ""
+        )
 
     def _stop_stalled_runs(self, host: Host, now: float) -> list[Effect]:
         """Stop stalled runs, so that their tasks restart elsewhere."""
@@ -138,7 +146,10 @@
     def _is_stalled(self, run: Run, now: float) -> bool:
         if run.state != "running" or run.progress >= 100 or run.filler:
             return False
-        return bool(run.moved_at) and now - run.moved_at > STALL_TIMEOUT_S
+        return (
+            bool(run.progress_changed_at)
+            and now - run.progress_changed_at > STALL_TIMEOUT_S
+        )
 
     def _quarantine_host(
         self, host: Host, now: float, seconds: float, reason: str
@@ -151,7 +162,7 @@
             return
         if not host.is_quarantined:
             log.warning(
-                "run_monitor: host quarantined",
+                "run_monitor: host quarantined; it gets no new work",
                 extra={"host": host.name, "why": reason},
             )
         host.is_quarantined = True
@@ -159,19 +170,24 @@
 
     def _move_off_slow_host(self, host: Host, now: float) -> list[Effect]:
         """Quarantine a slow host, and stop runs that would end sooner elsewhere."""
-        slowness = self.pool_state.speed_estimates.slowness(host)
-        if slowness < SLOW_HOST_RATIO or now - host.replied_at > STALL_TIMEOUT_S:
+        host_slowdown = self.pool_state.speed_estimates.host_slowdown(host)
+        if host_slowdown < SLOW_HOST_RATIO or now - host.replied_at > STALL_TIMEOUT_S:
             return []
         self._quarantine_host(
-            host, now, SLOW_QUARANTINE_S, f"{slowness:.1f} times slower than expected"
+            host,
+            now,
+            SLOW_QUARANTINE_S,
+            f"{host_slowdown:.1f} times slower than expected",
         )
         effects: list[Effect] = []
         for run in list(host.runs.values()):
-            if self._ends_sooner_elsewhere(run, slowness, now):
+            if self._ends_sooner_elsewhere(run, host_slowdown, now):
                 effects += self.pool_state.stop(host, run, "would end sooner elsewhere")
         return effects
 
-    def _ends_sooner_elsewhere(self, run: Run, slowness: float, now: float) -> bool:
+    def _ends_sooner_elsewhere(
+        self, run: Run, host_slowdown: float, now: float
+    ) -> bool:
         """Return whether a task would end sooner if it restarted elsewhere."""
         step = self.pool_state.step(run.key[0])
         if run.state != "running" or step is None or step.spec.gang:
@@ -181,35 +197,35 @@
         total_s = extrapolate_total_s(run)
         if total_s is None:
             return False
-        restart_s = total_s / slowness + self.timing.stop_grace_s + MOVE_OVERHEAD_S
+        restart_s = total_s / host_slowdown + self.timing.stop_grace_s + MOVE_OVERHEAD_S
         return total_s - (now - run.begun_at) > MIN_MOVE_GAIN * restart_s
 
     def _stop_before_leave(self, host: Host, now: float) -> list[Effect]:
         """Stop the runs that will not end before a draining host leaves."""
         if not host.entry.draining:
             return []
-        left_s = max(0.0, host.earliest_leave_at - now)
+        stay_s = max(0.0, host.earliest_leave_at - now)
         effects: list[Effect] = []
         for run in list(host.runs.values()):
             step = self.pool_state.step(run.key[0])
             if run.state != "running" or step is None:
                 continue
-            if self._should_stop_before_leave(run, step, left_s, now):
+            if self._should_stop_before_leave(run, step, stay_s, now):
                 effects += self.pool_state.stop(
                     host, run, "host leaves before the run ends"
                 )
         return effects
 
     def _should_stop_before_leave(
-        self, run: Run, step: StepRun, left_s: float, now: float
+        self, run: Run, step: StepRun, stay_s: float, now: float
     ) -> bool:
-        """Return whether to stop a run when its host leaves in ``left_s`` seconds."""
+        """Return whether to stop a run when its host leaves in ``stay_s`` seconds."""
         if step.spec.long_running:
-            return left_s <= self.timing.stop_grace_s + LEAVE_MARGIN_S
+            return stay_s <= self.timing.stop_grace_s + LEAVE_MARGIN_S
         limit_s = (
-            left_s - LEAVE_MARGIN_S
+            stay_s - LEAVE_MARGIN_S
             if step.spec.checkpoints
-            else left_s + LEAVE_OVERSTAY_S
+            else stay_s + LEAVE_OVERSTAY_S
         )
         return self.pool_state.speed_estimates.remaining_s(run, now) > limit_s
 
@@ -221,10 +237,13 @@
             host.is_quarantined = False
             del self._quarantined_until[host.name]
             self.pool_state.health.forget(host.name)
-            log.info("run_monitor: host leaves quarantine", extra={"host": host.name})
+            log.info(
+                "run_monitor: host leaves quarantine and may get new work",
+                extra={"host": host.name},
+            )
 
     def _throttle_best_effort(self, host: Host, now: float) -> list[Effect]:
-        """Throttle best-effort tasks before a tail beside them reaches its bound."""
+        """Throttle best-effort tasks by the response tails of the tasks beside them."""
         best_effort = [
             r for r in host.runs.values() if r.filler and r.state == "running"
         ]
--- a/siskinroad/work/run_table.py
+++ b/siskinroad/work/run_table.py
@@ -20,8 +20,8 @@
 # Number of host tokens reserved for each term. A term that raised a token more often
 # would reach the tokens of the next term, and hosts could no longer fence it.
 TOKENS_PER_TERM = 1 << 20
-# Run numbers that a former owner may have used for one task without storing them.
-# They are skipped after a takeover, so that no run number is used twice.
+# Largest number of run numbers that a former owner may have used for one task without
+# storing them. They are skipped after a takeover, so that no run number is used twice.
 MAX_UNSTORED_RUNS = 8
 
 log = logging.getLogger("siskinroad.pool_state")
@@ -37,7 +37,7 @@
 
     Attributes
     ----------
-    waiting_for_hosts : set of str
+    former_owner_hosts : set of str
         Hosts on which a former owner may have started work.
     former_leases_end_at : float
         Loop time by which every lease that a former owner granted has expired.
@@ -46,13 +46,13 @@
     def __init__(self, pool: str, term: int) -> None:
         super().__init__(pool, term)
         self.hosts: dict[str, Host] = {}
-        self.waiting_for_hosts: set[str] = set()
+        self.former_owner_hosts: set[str] = set()
         self.former_leases_end_at = 0.0
 
     # Stopping runs
 
     def cancel(self, job_id: str, now: float, wall: float) -> list[Effect]:
-        """Cancel a job: waiting tasks never start, runs are stopped."""
+        """Cancel a job: abandon its waiting tasks and stop its runs."""
         job = self.jobs.get(job_id)
         if job is None or job.is_closed:
             return []
@@ -81,7 +81,7 @@
         run.move("stop")
         return [StopRun(host.name, run, reason)]
 
-    def allow_copy(self, host: Host, run: Run, why: str, now: float) -> bool:
+    def allow_copy(self, host: Host, run: Run, reason: str, now: float) -> bool:
         """Allow a speculative copy of a task while its run continues.
 
         Return False if the step allows no copies or the task already has one.
@@ -101,7 +101,7 @@
                 "task": format_task_position(task.id),
                 "run": run.key[1],
                 "host": host.name,
-                "why": why,
+                "why": reason,
                 "progress": run.progress,
                 "report_age_s": round(now - host.reported_at, 2),
             },
@@ -145,9 +145,11 @@
             extra={"host": name, "silent_s": round(now - host.reported_at, 2)},
         )
 
-    def expect_hosts(self, names: Iterable[str], lease_expires_at: float) -> None:
-        """Set the hosts that a former owner used, and when their leases expire."""
-        self.waiting_for_hosts = set(names)
+    def set_former_owner_hosts(
+        self, names: Iterable[str], lease_expires_at: float
+    ) -> None:
+        """Set the hosts that a former owner used, and when its leases have expired."""
+        self.former_owner_hosts = set(names)
         for host in self.hosts.values():
             host.lease_expires_at = max(host.lease_expires_at, lease_expires_at)
         self.former_leases_end_at = lease_expires_at
@@ -157,18 +159,20 @@
         self.former_leases_end_at = min(self.former_leases_end_at, lease_expires_at)
 
     def settle_tasks(self, now: float) -> bool:
-        """Make unsettled tasks placeable once no unknown run of theirs can exist.
+        """Settle the unsettled tasks once none of them can have an unknown run.
 
         This is so when every host of the former owner has replied under this term,
         or when every lease of the former owner has expired. Return whether the
         tasks were settled by this call.
         """
-        if self.settled:
+        if self.is_settled:
             return False
-        unsettled_hosts = [n for n in self.waiting_for_hosts if not self._is_settled(n)]
+        unsettled_hosts = [
+            n for n in self.former_owner_hosts if not self._is_host_settled(n)
+        ]
         if unsettled_hosts and now < self.former_leases_end_at:
             return False
-        self.settled = True
+        self.is_settled = True
         count = 0
         for job in self.jobs.values():
             for step in job.steps.values():
@@ -178,7 +182,7 @@
                         task.move("settle")
                         count += 1
         log.info(
-            "pool_state: runs of former owners are reconciled; "
+            "pool_state: runs of former owners are reconciled or lapsed; "
             "unsettled tasks may be placed",
             extra={
                 "tasks": count,
@@ -188,9 +192,9 @@
         )
         return True
 
-    def _is_settled(self, name: str) -> bool:
+    def _is_host_settled(self, name: str) -> bool:
         host = self.hosts.get(name)
-        return host is not None and host.settled
+        return host is not None and host.is_settled
 
     def raise_token(self, host: Host) -> Effect:
         """Raise a host's token, which voids every start still in flight to it."""
@@ -204,11 +208,11 @@
             run.move("lapse")
             effects += self._end_run(host, run, "host replaced", now)
         self.hosts.pop(host.name, None)
-        self.waiting_for_hosts.discard(host.name)
+        self.former_owner_hosts.discard(host.name)
         return effects
 
     def expire_silent_hosts(self, now: float) -> list[Effect]:
-        """End the runs of silent hosts on which every lease has expired."""
+        """End the runs of hosts whose leases have expired; remove unlisted hosts."""
         effects: list[Effect] = []
         for host in list(self.hosts.values()):
             if now < host.lease_expires_at or now < self._former_lease_end(host):
@@ -231,7 +235,7 @@
         return effects
 
     def _former_lease_end(self, host: Host) -> float:
-        return 0.0 if host.settled else self.former_leases_end_at
+        return 0.0 if host.is_settled else self.former_leases_end_at
 
     # Starts and ends of runs
 
@@ -243,7 +247,7 @@
             job.has_started = True
 
     def _remove_run(self, host: Host, run: Run) -> None:
-        host.drop(run)
+        host.remove_run(run)
         step = self.step(run.key[0])
         if step is not None and step.runs_by_host.get(host.name):
             step.runs_by_host[host.name] -= 1
@@ -251,7 +255,7 @@
         if task is not None and task.older_run_host == host.name:
             task.older_run_host = ""
 
-    def _end_run(self, host: Host, run: Run, why: str, now: float) -> list[Effect]:
+    def _end_run(self, host: Host, run: Run, reason: str, now: float) -> list[Effect]:
         """End a run whose end no host has listed; its task may be placed again."""
         self._remove_run(host, run)
         task = self.task(run.key[0])
@@ -266,7 +270,7 @@
                 "task": format_task_position(run.key[0]),
                 "run": run.key[1],
                 "host": host.name,
-                "why": why,
+                "why": reason,
             },
         )
         return self._stop_gang(task, run)
--- a/siskinroad/work/speed_estimates.py
+++ b/siskinroad/work/speed_estimates.py
@@ -17,12 +17,12 @@
 SAMPLE_WEIGHT = 0.1
 # Samples of a queue before its learned ratio is used; until then it counts as 1.
 MIN_SAMPLES = 8
-# Seconds that a run must have worked before its progress is extrapolated; the figure
-# says nothing about its speed before that.
+# Seconds that a run must have worked before its progress is extrapolated; before
+# that, its progress says nothing about its speed.
 MIN_ELAPSED_S = 0.35
 # Fraction of its expected time that a run must have worked before its ratio is used.
 MIN_EXPECTED_FRACTION = 0.5
-# Jobs with usable runs on a host before its slowness is estimated: the declared time of
+# Jobs with usable runs on a host before its slowdown is estimated: the declared time of
 # a single job may be far off.
 MIN_JOBS = 3
 
@@ -63,11 +63,11 @@
         learned = self.queues.get(queue)
         return learned.ratio if learned and learned.samples >= MIN_SAMPLES else 1.0
 
-    def ratio(self, run: Run) -> float | None:
+    def slowdown(self, run: Run) -> float | None:
         """Return the ratio of a run's extrapolated time to its expected time.
 
-        None if the run is too young by its newest report, is long-running, or has no
-        expected time.
+        Returns None if the run is too young by its newest report, is long-running, or
+        has no expected time.
         """
         expected_s = self.expected_s(run.queue, run.declared_s)
         total_s = extrapolate_total_s(run)
@@ -88,26 +88,25 @@
             return float("inf")
         total_s = extrapolate_total_s(run)
         if total_s is None:
-            left_s = run.declared_s * (100 - run.progress_at_begin) / 100
-            total_s = left_s * self.run_time_ratio(run.queue) or float("inf")
+            declared_remaining_s = run.declared_s * (100 - run.progress_at_begin) / 100
+            total_s = declared_remaining_s * self.run_time_ratio(run.queue) or float(
+                "inf"
+            )
         begun_at = run.begun_at or now
         return max(0.0, total_s - (now - begun_at))
 
-    def slowness(self, host: Host) -> float:
-        """Return the median ratio of a host's runs; 1 if fewer than ``MIN_JOBS`` count.
-
-        One job alone proves nothing: its declared time may be far off.
-        """
-        ratios: list[float] = []
+    def host_slowdown(self, host: Host) -> float:
+        """Return the median slowdown of a host's runs; 1 below ``MIN_JOBS`` jobs."""
+        slowdowns: list[float] = []
         jobs: set[str] = set()
         for run in host.runs.values():
-            ratio = self.ratio(run) if run.state == "running" else None
-            if ratio is not None:
-                ratios.append(ratio)
+            slowdown = self.slowdown(run) if run.state == "running" else None
+            if slowdown is not None:
+                slowdowns.append(slowdown)
                 jobs.add(run.key[0].job)
         if len(jobs) < MIN_JOBS:
             return 1.0
-        return statistics.median(ratios)
+        return statistics.median(slowdowns)
 
 
 def extrapolate_total_s(run: Run) -> float | None:
--- a/tests/work/cell.py
+++ b/tests/work/cell.py
@@ -110,7 +110,7 @@
             platform_clients,
             peers,
             lambda member: None,
-            Timing(status_kept_s=120.0),
+            Timing(status_retention_s=120.0),
             lambda: asyncio.get_running_loop().time(),
         )
         daemon.start()
--- a/tests/work/test_advice_requester.py
+++ b/tests/work/test_advice_requester.py
@@ -5,7 +5,13 @@
 from siskinroad.work.hosts import HostReport, RunStatus
 from siskinroad.work.planner import Planner
 from tests.work.cell import job, step
-from tests.work.test_planner import add, allow, make, plan, started
+from tests.work.test_planner import (
+    add_job,
+    give_tickets,
+    list_starts,
+    make_pool_state,
+    plan,
+)
 
 # An advisor call takes 0.1 s plus 0.01 s for each host; tickets are valid for 2 s.
 LARGE = {"cpu_milli": 30000, "estimate": 4.0}
@@ -34,11 +40,11 @@
 
 def make_blocked_step(expires):
     """Return pool state with one busy host, and a job that waits for its capacity."""
-    pool_state = make(["i-0"])
-    add(pool_state, "first", job(step(1, **LARGE)), "slow")
+    pool_state = make_pool_state(["i-0"])
+    add_job(pool_state, "first", job(step(1, **LARGE)), "slow")
     accept_starts(pool_state, plan(pool_state, 0.1), 0.1)
-    waiting_job = add(pool_state, "waits", job(step(1, **LARGE)), "advised")
-    allow(waiting_job, "i-0", until=expires)
+    waiting_job = add_job(pool_state, "waits", job(step(1, **LARGE)), "advised")
+    give_tickets(waiting_job, "i-0", until=expires)
     return pool_state, waiting_job
 
 
@@ -57,14 +63,14 @@
 
 def test_runs_that_end_at_the_same_time_free_their_capacity_together():
     # The large task fits only once both runs have ended.
-    pool_state = make(["i-0"])
+    pool_state = make_pool_state(["i-0"])
     half = {"cpu_milli": 15000, "estimate": 4.0}
-    add(
+    add_job(
         pool_state, "first", job(step(1, **half), step(1, memory_mib=7, **half)), "slow"
     )
     accept_starts(pool_state, plan(pool_state, 0.1), 0.1)
-    waiting_job = add(pool_state, "waits", job(step(1, **LARGE)), "advised")
-    allow(waiting_job, "i-0", until=1.0)
+    waiting_job = add_job(pool_state, "waits", job(step(1, **LARGE)), "advised")
+    give_tickets(waiting_job, "i-0", until=1.0)
     report_progress(pool_state, 95, 3.9)
     assert advice_requests(plan(pool_state, 3.9)) == [
         (waiting_job.steps[0, 0].key, ("i-0",))
@@ -80,11 +86,11 @@
 
 def test_gang_tickets_are_renewed_once_capacity_for_all_members_is_near():
     # Renewed for the first member, they could expire before the last run ends.
-    pool_state = make(["i-0", "i-1"])
-    add(pool_state, "first", job(step(2, **LARGE)), "slow")
+    pool_state = make_pool_state(["i-0", "i-1"])
+    add_job(pool_state, "first", job(step(2, **LARGE)), "slow")
     accept_starts(pool_state, plan(pool_state, 0.1), 0.1)
-    gang = add(pool_state, "gang", job(step(2, gang=True, **LARGE)), "advised")
-    allow(gang, "i-0", "i-1", until=1.0)
+    gang = add_job(pool_state, "gang", job(step(2, gang=True, **LARGE)), "advised")
+    give_tickets(gang, "i-0", "i-1", until=1.0)
     report_progress(pool_state, 95, 3.9)
     (last_run,) = pool_state.hosts["i-1"].runs.values()
     last_run.progress = 50
@@ -98,9 +104,11 @@
 def test_advice_for_the_next_step_is_requested_while_its_predecessor_runs():
     # Jobs of several short steps, worth most within a second or two: a request made
     # only when the next step is ready would delay each step by a call.
-    pool_state = make(["i-0", "i-1"])
-    two_steps = add(pool_state, "both", job(step(2), step(1, after=(0,))), "advised")
-    allow(two_steps, "i-0", "i-1")
+    pool_state = make_pool_state(["i-0", "i-1"])
+    two_steps = add_job(
+        pool_state, "both", job(step(2), step(1, after=(0,))), "advised"
+    )
+    give_tickets(two_steps, "i-0", "i-1")
     accept_starts(pool_state, plan(pool_state, 0.1), 0.1)
     assert advice_requests(plan(pool_state, 0.2)) == []
     report_progress(pool_state, 80, 0.9)
@@ -110,22 +118,22 @@
     assert advice_requests(plan(pool_state, 1.0)) == []
     # With its tickets present, the step starts as soon as it is ready.
     two_steps.steps[0, 1].is_advice_pending = False
-    allow(two_steps, "i-0", "i-1", step_=1)
+    give_tickets(two_steps, "i-0", "i-1", step_number=1)
     for task in two_steps.steps[0, 0].tasks:
         task.move("done")
     pool_state.ready.pop(two_steps.steps[0, 0].key)
     pool_state._collect_ready_steps(two_steps, 1.1)
-    assert [name for name, _ in started(plan(pool_state, 1.1))] == ["both"]
+    assert [name for name, _ in list_starts(plan(pool_state, 1.1))] == ["both"]
 
 
 def test_advice_for_the_next_step_is_not_requested_while_predecessors_wait():
     # The end of tasks that have not started is unknown; tickets would expire unused.
-    pool_state = make(["i-0"])
-    two_steps = add(
+    pool_state = make_pool_state(["i-0"])
+    two_steps = add_job(
         pool_state, "both", job(step(2, cpu_milli=30000), step(1, after=(0,)))
     )
     two_steps.queue = "advised"
-    allow(two_steps, "i-0")
+    give_tickets(two_steps, "i-0")
     accept_starts(pool_state, plan(pool_state, 0.1), 0.1)
     report_progress(pool_state, 95, 0.95)
     assert advice_requests(plan(pool_state, 0.96)) == []
@@ -134,10 +142,10 @@
 def test_advice_is_requested_for_the_most_urgent_steps_first_and_the_rest_later():
     # A takeover while many steps wait for advice, with one channel free: requests for
     # all of them at once would delay the urgent step behind the others.
-    pool_state = make(["i-0", "i-1"])
+    pool_state = make_pool_state(["i-0", "i-1"])
     for i in range(5):
-        add(pool_state, f"old{i}", job(step(1, estimate=9.0)), "advised", at=-0.05)
-    urgent = add(pool_state, "young", job(step(1, estimate=0.1)), "advised")
+        add_job(pool_state, f"old{i}", job(step(1, estimate=9.0)), "advised", at=-0.05)
+    urgent = add_job(pool_state, "young", job(step(1, estimate=0.1)), "advised")
     effects = Planner(pool_state).plan(0.1, 0.1, ChannelTimes([0.0], [0.2]))
     assert advice_requests(effects) == [(urgent.steps[0, 0].key, ("i-0", "i-1"))]
     later = advice_requests(
--- a/tests/work/test_advisor_channels.py
+++ b/tests/work/test_advisor_channels.py
@@ -111,6 +111,7 @@
 
 
 def test_most_channels_make_long_calls_and_a_single_one_makes_all():
+    # Short calls take little of a channel's time; gangs need most of the channels.
     alive = [f"d{i}" for i in range(7)]
     short, long = AdvisorChannels(
         "d7", SequentialAdvisor(), None, lambda: alive
--- a/tests/work/test_claim.py
+++ b/tests/work/test_claim.py
@@ -1,3 +1,5 @@
+"""Tests of pool claims: what a new owner reads, and which claim wins."""
+
 import asyncio
 
 import pytest
@@ -52,6 +54,7 @@
 
 
 def test_a_claim_succeeds_while_others_append_to_a_slow_store():
+    # A claim that required a certain end of the topic would fail on every attempt.
     async def scenario():
         inherited = await claim_pool(SlowStore(MemoryLogs()), POOL, OWNER_A)
         assert inherited.term and "other-1" in inherited.accepted
@@ -62,10 +65,10 @@
 def test_the_later_of_two_concurrent_claims_fences_the_other():
     async def scenario():
         store = MemoryStore(MemoryLogs())
-        one, two = await asyncio.gather(
+        claim_a, claim_b = await asyncio.gather(
             claim_pool(store, POOL, OWNER_A), claim_pool(store, POOL, OWNER_B)
         )
-        low, high = sorted((one.term, two.term))
+        low, high = sorted((claim_a.term, claim_b.term))
         await store.append(
             progress_topic(POOL),
             [Record("k", b"v")],
@@ -99,7 +102,7 @@
         store = MemoryStore(MemoryLogs())
         first = await claim_pool(store, POOL, OWNER_A)
         second = await claim_pool(store, POOL, OWNER_B)
-        assert not second.is_former_sole_owner
+        assert not second.are_earlier_owners_reconciled
         hosts = record_of(HostSet(("i-0",), second.term, True))
         await store.append(
             progress_topic(POOL),
@@ -107,12 +110,15 @@
             fence=Fence(PROGRESS_PRODUCER, second.term, 1),
         )
         third = await claim_pool(store, POOL, OWNER_A)
-        assert third.is_former_sole_owner and first.is_former_sole_owner
+        assert (
+            third.are_earlier_owners_reconciled and first.are_earlier_owners_reconciled
+        )
 
     run(scenario())
 
 
 def test_unreadable_records_are_skipped():
+    # One bad record in the topic must not leave the pool without an owner.
     async def scenario():
         store = MemoryStore(MemoryLogs())
         await store.append(job_topic(POOL), [Record("x", b"\xc1"), accepted("j1")])
--- a/tests/work/test_members.py
+++ b/tests/work/test_members.py
@@ -1,3 +1,5 @@
+"""Tests of members: liveness by heartbeats, choice of claimant and job writer."""
+
 import msgspec
 
 from siskinroad.work.members import Members
@@ -19,7 +21,7 @@
 
 
 def find_claimants(pool, *heartbeats, now=10.0, store_age=0.1):
-    """Return the daemons that would claim the pool, each judging by itself."""
+    """Return the daemons that would claim the pool, each by its own heartbeats."""
     names = [each.node for each in heartbeats]
     found = []
     for each in heartbeats:
@@ -39,7 +41,8 @@
 
 
 def test_a_daemon_that_has_just_started_does_not_keep_others_from_claiming():
-    # Daemons restart one after another, each with the best rank for the pool.
+    # Daemons restart one after another. If the others deferred to one that cannot claim
+    # yet, nobody would claim the pool.
     for starting in "abc":
         heartbeats = [heartbeat(n, can_claim=n != starting) for n in "abc"]
         assert len(find_claimants("p", *heartbeats)) == 1
@@ -85,7 +88,8 @@
 
 
 def test_a_slow_claim_of_another_daemon_is_not_disturbed():
-    # The store is slow, a claim takes two seconds, and a daemon of better rank starts.
+    # The store is slow, so the claim takes two seconds. A second claim, by a daemon of
+    # better rank that starts meanwhile, would depose the first claimant.
     members = make_members(msgspec.structs.replace(heartbeat("b"), claiming=("p",)))
     assert members.claimant("p", 10.5) == "b"
     assert members.claimant("q", 10.5) is None
@@ -96,7 +100,7 @@
     members = Members("a", 1)
     assert members.add_member(Member("b", 2, "x", "d", "r"))
     assert not members.add_member(Member("b", 1, "y", "d", "r"))
-    members.forget_all_but(set())
+    members.remove_unlisted(set())
     assert members.other_members() == []
 
 
--- a/tests/work/test_planner.py
+++ b/tests/work/test_planner.py
@@ -10,10 +10,10 @@
 from tests.work.cell import CONFIGURATION, POOL, entry, job, step
 
 
-def make(hosts, **entries):
+def make_pool_state(hosts, **entries):
     """Return the state of a pool whose hosts have replied and can be used."""
     pool_state = PoolState(POOL, 1)
-    pool_state.settled = True
+    pool_state.is_settled = True
     pool_state.configure(CONFIGURATION)
     for name in hosts:
         pool_state.add_or_update_host(entries.get(name, entry(name)))
@@ -25,7 +25,7 @@
     return pool_state
 
 
-def add(pool_state, name, spec, queue="fast", at=0.0):
+def add_job(pool_state, name, spec, queue="fast", at=0.0):
     """Submit a job and return it."""
     pool_state.accept(Accepted(name, queue, POOL, at, spec), 0.0, at, is_new=True)
     return pool_state.jobs[name]
@@ -35,42 +35,42 @@
     return Planner(pool_state).plan(now, wall)
 
 
-def started(effects):
+def list_starts(effects):
     """Return the job and host of each start command."""
     return [(e.run.key[0].job, e.host) for e in effects if isinstance(e, StartRun)]
 
 
-def allow(accepted_job, *hosts, until=100.0, step_=0):
+def give_tickets(accepted_job, *hosts, until=100.0, step_number=0):
     """Give a step of a job a ticket for each of the hosts."""
-    step_run = accepted_job.steps[0, step_]
-    step_run.asked_hosts.update(hosts)
+    step_run = accepted_job.steps[0, step_number]
+    step_run.requested_hosts.update(hosts)
     for host in hosts:
         step_run.tickets[host] = (f"t-{host}", until)
 
 
 def test_urgent_steps_are_placed_before_older_steps_of_lower_priority():
-    pool_state = make(["i-0"])
-    add(pool_state, "paper", job(step(1, cpu_milli=20000)), "slow")
-    add(pool_state, "urgent", job(step(1, cpu_milli=20000)), "fast")
-    assert started(plan(pool_state)) == [("urgent", "i-0")]
+    pool_state = make_pool_state(["i-0"])
+    add_job(pool_state, "paper", job(step(1, cpu_milli=20000)), "slow")
+    add_job(pool_state, "urgent", job(step(1, cpu_milli=20000)), "fast")
+    assert list_starts(plan(pool_state)) == [("urgent", "i-0")]
 
 
 def test_steps_past_their_target_time_do_not_delay_steps_that_can_meet_theirs():
-    pool_state = make(["i-0"])
-    add(pool_state, "late", job(step(1, cpu_milli=20000)), "fast", at=-5.0)
-    add(pool_state, "young", job(step(1, cpu_milli=20000)), "fast", at=0.0)
-    assert started(plan(pool_state)) == [("young", "i-0")]
+    pool_state = make_pool_state(["i-0"])
+    add_job(pool_state, "late", job(step(1, cpu_milli=20000)), "fast", at=-5.0)
+    add_job(pool_state, "young", job(step(1, cpu_milli=20000)), "fast", at=0.0)
+    assert list_starts(plan(pool_state)) == [("young", "i-0")]
 
 
 def test_lateness_uses_learned_rather_than_declared_run_times():
     # The tasks of this queue take 2 s, twice their declared time: judged by the
     # declared time, the older job would count as late and lose its place.
-    pool_state = make(["i-0"])
+    pool_state = make_pool_state(["i-0"])
     for _ in range(20):
         pool_state.speed_estimates.record_run("fast", 1.0, 2.0)
-    add(pool_state, "older", job(step(1, cpu_milli=20000)), "fast", at=-1.6)
-    add(pool_state, "younger", job(step(1, cpu_milli=20000)), "fast", at=0.0)
-    assert started(plan(pool_state)) == [("older", "i-0")]
+    add_job(pool_state, "older", job(step(1, cpu_milli=20000)), "fast", at=-1.6)
+    add_job(pool_state, "younger", job(step(1, cpu_milli=20000)), "fast", at=0.0)
+    assert list_starts(plan(pool_state)) == [("older", "i-0")]
     # 1.5 times 2 s of work, plus 0.4 s.
     assert pool_state.target_time(pool_state.jobs["younger"]) == pytest.approx(
         3.4, abs=0.2
@@ -78,138 +78,138 @@
 
 
 def test_the_target_time_includes_an_advice_request_per_step_and_the_due_time():
-    pool_state = make(["i-0"])
+    pool_state = make_pool_state(["i-0"])
     spec = job(step(), step(after=(0,)), occurrences=3, first=100.0, interval=10.0)
-    timed = add(pool_state, "timed", spec, "advised")
+    timed = add_job(pool_state, "timed", spec, "advised")
     # Twice 2 s of work and two advice requests of 0.4 s, plus 1.2 s.
     assert pool_state.target_time(timed, 2) == pytest.approx(120.0 + 2 * 2.8 + 1.2)
 
 
 def test_placement_exceeds_no_resource_of_a_host():
-    pool_state = make(["i-0"])
-    add(pool_state, "a", job(step(9, cpu_milli=1000, memory_mib=1, accelerators=3)))
-    assert len(started(plan(pool_state))) == 2
+    pool_state = make_pool_state(["i-0"])
+    add_job(pool_state, "a", job(step(9, cpu_milli=1000, memory_mib=1, accelerators=3)))
+    assert len(list_starts(plan(pool_state))) == 2
 
 
 def test_a_step_with_several_allowed_hosts_avoids_the_only_host_of_another():
     # Advice allows one of the steps a single host, and each needs all accelerators.
-    pool_state = make(["i-0", "i-1"])
+    pool_state = make_pool_state(["i-0", "i-1"])
     need = {"cpu_milli": 1000, "accelerators": 8}
-    free = add(pool_state, "free", job(step(1, **need)), "advised", at=-0.1)
-    bound = add(pool_state, "bound", job(step(1, **need)), "advised")
-    allow(free, "i-0", "i-1")
-    allow(bound, "i-0")
-    assert sorted(started(plan(pool_state))) == [("bound", "i-0"), ("free", "i-1")]
+    free = add_job(pool_state, "free", job(step(1, **need)), "advised", at=-0.1)
+    bound = add_job(pool_state, "bound", job(step(1, **need)), "advised")
+    give_tickets(free, "i-0", "i-1")
+    give_tickets(bound, "i-0")
+    assert sorted(list_starts(plan(pool_state))) == [("bound", "i-0"), ("free", "i-1")]
 
 
 def test_a_blocked_gang_excludes_later_single_tasks_from_its_hosts():
     # Otherwise single tasks fill every gap before the gang fits.
-    pool_state = make(["i-0", "i-1"])
-    add(pool_state, "first", job(step(1, cpu_milli=30000)), "fast")
-    assert started(plan(pool_state)) == [("first", "i-0")]
-    add(pool_state, "gang", job(step(2, cpu_milli=20000, gang=True)), "fast")
-    add(pool_state, "small", job(step(9, cpu_milli=9000)), "slow")
-    hosts = {host for _, host in started(plan(pool_state, 0.2))}
+    pool_state = make_pool_state(["i-0", "i-1"])
+    add_job(pool_state, "first", job(step(1, cpu_milli=30000)), "fast")
+    assert list_starts(plan(pool_state)) == [("first", "i-0")]
+    add_job(pool_state, "gang", job(step(2, cpu_milli=20000, gang=True)), "fast")
+    add_job(pool_state, "small", job(step(9, cpu_milli=9000)), "slow")
+    hosts = {host for _, host in list_starts(plan(pool_state, 0.2))}
     assert len(hosts) <= 1
 
 
 def test_advice_is_requested_once_and_renewed_only_for_the_chosen_hosts():
-    pool_state = make(["i-0", "i-1", "i-2"])
-    one = add(pool_state, "one", job(step(1, cpu_milli=30000)), "advised")
+    pool_state = make_pool_state(["i-0", "i-1", "i-2"])
+    one = add_job(pool_state, "one", job(step(1, cpu_milli=30000)), "advised")
     (request,) = plan(pool_state)
     assert isinstance(request, RequestAdvice) and len(request.hosts) == 3
     assert plan(pool_state) == []
     one.steps[0, 0].is_advice_pending = False
-    allow(one, "i-1", until=0.2)
+    give_tickets(one, "i-1", until=0.2)
     (again,) = plan(pool_state, now=1.0)
     assert isinstance(again, RequestAdvice) and again.hosts == ("i-1",)
     # The capacity stays reserved for the step until the reply.
-    add(pool_state, "other", job(step(1, cpu_milli=30000)), "fast")
-    assert ("other", "i-1") not in started(plan(pool_state, now=1.1))
+    add_job(pool_state, "other", job(step(1, cpu_milli=30000)), "fast")
+    assert ("other", "i-1") not in list_starts(plan(pool_state, now=1.1))
 
 
 def test_spread_limits_the_tasks_of_a_step_on_one_host():
-    pool_state = make(["i-0", "i-1"])
-    add(pool_state, "a", job(step(9, cpu_milli=100, spread=2)))
-    hosts = [host for _, host in started(plan(pool_state))]
+    pool_state = make_pool_state(["i-0", "i-1"])
+    add_job(pool_state, "a", job(step(9, cpu_milli=100, spread=2)))
+    hosts = [host for _, host in list_starts(plan(pool_state))]
     assert sorted(hosts) == ["i-0", "i-0", "i-1", "i-1"]
 
 
 def test_best_effort_tasks_are_kept_apart_from_serving_tasks():
-    pool_state = make(["i-0", "i-1"])
+    pool_state = make_pool_state(["i-0", "i-1"])
     serving = step(1, long_running=True, tail_limit=0.2)
-    add(pool_state, "serve", job(serving), "fast")
-    ((_, host),) = started(plan(pool_state))
-    add(pool_state, "fill", job(step(3, filler=True)), "slow")
-    assert host not in {name for _, name in started(plan(pool_state, 0.2))}
+    add_job(pool_state, "serve", job(serving), "fast")
+    ((_, host),) = list_starts(plan(pool_state))
+    add_job(pool_state, "fill", job(step(3, filler=True)), "slow")
+    assert host not in {name for _, name in list_starts(plan(pool_state, 0.2))}
 
 
 def test_a_host_without_a_recent_reply_gets_no_tasks():
-    pool_state = make(["i-0"])
-    add(pool_state, "a", job())
-    assert started(plan(pool_state, now=5.0)) == []
+    pool_state = make_pool_state(["i-0"])
+    add_job(pool_state, "a", job())
+    assert list_starts(plan(pool_state, now=5.0)) == []
 
 
 def test_a_gang_returns_to_a_host_where_it_failed_if_it_needs_every_host():
     # The gang has as many tasks as hosts: if it avoided the host for good, it would
     # never run.
-    pool_state = make(["i-0", "i-1"])
-    gang = add(pool_state, "g", job(step(2, cpu_milli=30000, gang=True)))
+    pool_state = make_pool_state(["i-0", "i-1"])
+    gang = add_job(pool_state, "g", job(step(2, cpu_milli=30000, gang=True)))
     for task in gang.steps[0, 0].tasks:
         task.avoided_hosts["i-0"] = 0.0
-    assert started(plan(pool_state, now=0.1)) == []
-    assert len(started(plan(pool_state, now=1.6))) == 2
+    assert list_starts(plan(pool_state, now=0.1)) == []
+    assert len(list_starts(plan(pool_state, now=1.6))) == 2
 
 
 def test_a_task_prefers_a_host_where_it_has_not_failed():
-    pool_state = make(["i-0", "i-1"])
-    one = add(pool_state, "g", job(step(1)))
+    pool_state = make_pool_state(["i-0", "i-1"])
+    one = add_job(pool_state, "g", job(step(1)))
     one.steps[0, 0].tasks[0].avoided_hosts["i-0"] = -9.0
-    assert started(plan(pool_state)) == [("g", "i-1")]
+    assert list_starts(plan(pool_state)) == [("g", "i-1")]
 
 
 def test_headroom_is_kept_for_bursts_of_urgent_steps():
     # Otherwise tasks of lower priority fill every gap between two bursts.
-    pool_state = make(["i-0", "i-1"])
+    pool_state = make_pool_state(["i-0", "i-1"])
     planner = Planner(pool_state)
-    add(pool_state, "burst", job(step(6, cpu_milli=4000)), "fast")
-    first = started(planner.plan(0.1, 0.1))
+    add_job(pool_state, "burst", job(step(6, cpu_milli=4000)), "fast")
+    first = list_starts(planner.plan(0.1, 0.1))
     assert len(first) == 6
     for host in pool_state.hosts.values():
         for run in list(host.runs.values()):
             run.move("lapse")
-            host.drop(run)
-    add(pool_state, "paper", job(step(40, cpu_milli=2000)), "slow")
+            host.remove_run(run)
+    add_job(pool_state, "paper", job(step(40, cpu_milli=2000)), "slow")
     planner.plan(1.0, 1.0)
-    add(pool_state, "again", job(step(4, cpu_milli=4000)), "fast")
-    assert len(started(planner.plan(1.1, 1.1))) == 4
+    add_job(pool_state, "again", job(step(4, cpu_milli=4000)), "fast")
+    assert len(list_starts(planner.plan(1.1, 1.1))) == 4
 
 
 def test_other_work_may_use_the_whole_pool_without_urgent_demand():
-    pool_state = make(["i-0"])
-    add(pool_state, "paper", job(step(16, cpu_milli=2000)), "slow")
-    assert len(started(plan(pool_state))) == 16
+    pool_state = make_pool_state(["i-0"])
+    add_job(pool_state, "paper", job(step(16, cpu_milli=2000)), "slow")
+    assert len(list_starts(plan(pool_state))) == 16
 
 
 def test_runs_with_checkpoints_are_preempted_for_a_large_urgent_step():
     # Single tasks hold one accelerator each, and the urgent task needs all eight.
-    pool_state = make(["i-0"])
+    pool_state = make_pool_state(["i-0"])
     small = step(8, cpu_milli=1000, accelerators=1, checkpoints=True, estimate=5.0)
-    add(pool_state, "small", job(small), "slow")
+    add_job(pool_state, "small", job(small), "slow")
     for effect in plan(pool_state):
         pool_state.apply_start_reply(pool_state.hosts["i-0"], effect.run, None, 0.2)
-    add(pool_state, "large", job(step(1, cpu_milli=8000, accelerators=8)), "fast")
+    add_job(pool_state, "large", job(step(1, cpu_milli=8000, accelerators=8)), "fast")
     stops = [e for e in plan(pool_state, 0.3, 0.3) if isinstance(e, StopRun)]
     assert len(stops) == 8
     assert plan(pool_state, 0.4, 0.4) == []
 
 
 def test_no_run_is_preempted_for_its_own_priority_or_when_nearly_done():
-    pool_state = make(["i-0"])
+    pool_state = make_pool_state(["i-0"])
     near = step(1, cpu_milli=20000, checkpoints=True, estimate=1.0)
-    add(pool_state, "near", job(near), "slow")
+    add_job(pool_state, "near", job(near), "slow")
     (effect,) = plan(pool_state)
     pool_state.apply_start_reply(pool_state.hosts["i-0"], effect.run, None, 0.2)
-    add(pool_state, "urgent", job(step(1, cpu_milli=20000)), "fast")
-    add(pool_state, "equal", job(step(1, cpu_milli=20000)), "slow")
+    add_job(pool_state, "urgent", job(step(1, cpu_milli=20000)), "fast")
+    add_job(pool_state, "equal", job(step(1, cpu_milli=20000)), "slow")
     assert plan(pool_state, 0.3, 0.3) == []
--- a/tests/work/test_pool_state.py
+++ b/tests/work/test_pool_state.py
@@ -17,16 +17,18 @@
     return HostReport(clock, incarnation_ms, tuple(running), tuple(ended))
 
 
-def make_pool_state(spec, hosts=("i-0",), term=1, queue="fast", settled=True):
+def make_pool_state(spec, hosts=("i-0",), term=1, queue="fast", is_settled=True):
     pool_state = PoolState(POOL, term)
-    pool_state.settled = settled
+    pool_state.is_settled = is_settled
     pool_state.configure(CONFIGURATION)
     for name in hosts:
         pool_state.add_or_update_host(entry(name))
         pool_state.hosts[name].is_stored = True
-        if settled:
+        if is_settled:
             send_report(pool_state, name, 0.0)
-    pool_state.accept(Accepted("j", queue, POOL, 0.0, spec), 0.0, 0.0, is_new=settled)
+    pool_state.accept(
+        Accepted("j", queue, POOL, 0.0, spec), 0.0, 0.0, is_new=is_settled
+    )
     return pool_state
 
 
@@ -45,11 +47,11 @@
 def make_successor(pool_state):
     """Return the next owner's pool state, restored from this one's stored progress."""
     next_owner = make_pool_state(
-        pool_state.jobs["j"].spec, tuple(pool_state.hosts), 9, settled=False
+        pool_state.jobs["j"].spec, tuple(pool_state.hosts), 9, is_settled=False
     )
-    next_owner.waiting_for_hosts = set(pool_state.hosts)
+    next_owner.former_owner_hosts = set(pool_state.hosts)
     next_owner.former_leases_end_at = 1e9
-    next_owner.restore(pool_state.jobs["j"].progress(), 0.0)
+    next_owner.restore(pool_state.jobs["j"].make_progress(), 0.0)
     return next_owner
 
 
@@ -140,8 +142,8 @@
 
 
 def test_unsettled_tasks_wait_for_every_host_of_the_former_owner():
-    pool_state = make_pool_state(job(), ("i-0", "i-1"), settled=False)
-    pool_state.expect_hosts({"i-0", "i-1", "i-gone"}, 14.0)
+    pool_state = make_pool_state(job(), ("i-0", "i-1"), is_settled=False)
+    pool_state.set_former_owner_hosts({"i-0", "i-1", "i-gone"}, 14.0)
     send_report(pool_state, "i-0", 0.1)
     send_report(pool_state, "i-1", 0.1)
     assert not pool_state.settle_tasks(0.2)
@@ -152,7 +154,7 @@
 
 
 def test_a_new_owner_adopts_runs_of_open_jobs_and_stops_unknown_ones():
-    pool_state = make_pool_state(job(), ("i-0",), settled=False)
+    pool_state = make_pool_state(job(), ("i-0",), is_settled=False)
     other = RunStatus(TaskId("x", 0, 0, 0), 3, "", 50, 0)
     effects = send_report(
         pool_state, "i-0", 0.1, running=[RunStatus(TASK, 4, "ck", 50, 0), other]
@@ -187,7 +189,7 @@
 
 
 def test_a_run_just_adopted_by_a_new_owner_does_not_expire_at_once():
-    pool_state = make_pool_state(job(), ("i-0",), settled=False)
+    pool_state = make_pool_state(job(), ("i-0",), is_settled=False)
     send_report(pool_state, "i-0", 5.0, running=[RunStatus(TASK, 1, "", 50, 0)])
     pool_state.expire_silent_hosts(5.01)
     assert pool_state.task(TASK).state == "placed"
@@ -196,8 +198,8 @@
 
 def test_all_failed_runs_count_in_any_order_of_the_hosts_reports():
     # Two ends that the former owner did not store; the later one is listed first.
-    pool_state = make_pool_state(job(), ("i-0", "i-1"), settled=False)
-    pool_state.waiting_for_hosts = {"i-0", "i-1"}
+    pool_state = make_pool_state(job(), ("i-0", "i-1"), is_settled=False)
+    pool_state.former_owner_hosts = {"i-0", "i-1"}
     pool_state.former_leases_end_at = 1e9
     send_report(pool_state, "i-1", 0.1, ended=[RunEnd(1, TASK, 3, EndKind.FAILED, "")])
     send_report(pool_state, "i-0", 0.2, ended=[RunEnd(1, TASK, 2, EndKind.FAILED, "")])
@@ -252,7 +254,7 @@
 def test_dropping_an_unsent_withdrawn_start_frees_its_capacity():
     pool_state = make_pool_state(job())
     host, run = start_and_cancel(pool_state)
-    assert not pool_state.may_send(host, run)
+    assert not pool_state.may_send_start(host, run)
     pool_state.drop_start(host, run, 0.3)
     assert host.used.cpu_milli == 0
     assert pool_state.task(TASK).state == "abandoned"
@@ -272,7 +274,7 @@
     pool_state = make_pool_state(job())
     (start,) = plan_starts(pool_state)
     host = pool_state.hosts["i-0"]
-    assert pool_state.may_send(host, start.run)
+    assert pool_state.may_send_start(host, start.run)
     pool_state.expire_silent_hosts(1e9)
-    assert not pool_state.may_send(host, start.run)
+    assert not pool_state.may_send_start(host, start.run)
     assert pool_state.drop_start(host, start.run, 1e9) == []
--- a/tests/work/test_run_monitor.py
+++ b/tests/work/test_run_monitor.py
@@ -8,16 +8,16 @@
 from siskinroad.work.planner import Planner
 from siskinroad.work.run_monitor import RunMonitor
 from tests.work.cell import job, step
-from tests.work.test_planner import add, make
+from tests.work.test_planner import add_job, make_pool_state
 
 TIMING = Timing(stop_grace_s=0.2)
 
 
 def report_host(pool_state, host, now, running=(), ended=()):
     """Apply a report of a host and return the effects."""
-    found = pool_state.hosts[host]
+    state = pool_state.hosts[host]
     report = HostReport(int(now * 1000), 1, tuple(running), tuple(ended))
-    return pool_state.apply_report(found, report, found.token, now - 0.001, now, now)
+    return pool_state.apply_report(state, report, state.token, now - 0.001, now, now)
 
 
 def start_waiting(pool_state, now):
@@ -32,7 +32,7 @@
 
 def learn_run_time(pool_state, now=0.1, seconds=0.9):
     """Let ten tasks with a declared time of 1 s end after ``seconds``."""
-    add(pool_state, "taught", job(step(10, cpu_milli=100, estimate=1.0)), "fast")
+    add_job(pool_state, "taught", job(step(10, cpu_milli=100, estimate=1.0)), "fast")
     ends = {}
     for i, effect in enumerate(start_waiting(pool_state, now)):
         end = RunEnd(i + 1, *effect.run.key, EndKind.DONE, "")
@@ -49,7 +49,7 @@
 def start_three_jobs(pool_state, now, estimate=1.0):
     """Start one task of each of three jobs on one host; return the starts."""
     for name in ("j", "k", "l"):
-        add(pool_state, name, job(step(1, estimate=estimate)), "fast")
+        add_job(pool_state, name, job(step(1, estimate=estimate)), "fast")
     begun = start_waiting(pool_state, now)
     assert len({effect.host for effect in begun}) == 1
     return begun
@@ -64,7 +64,7 @@
 
 def test_a_slow_host_is_quarantined_and_its_tasks_move_if_they_end_sooner():
     # The host has become about six times slower than the others.
-    pool_state = make(["i-0", "i-1", "i-2"])
+    pool_state = make_pool_state(["i-0", "i-1", "i-2"])
     learn_run_time(pool_state)
     begun = start_three_jobs(pool_state, 1.1)
     report_all(pool_state, 1.9, begun, 12)
@@ -75,7 +75,7 @@
 
 
 def test_hosts_of_normal_speed_are_not_quarantined():
-    pool_state = make(["i-0", "i-1", "i-2"])
+    pool_state = make_pool_state(["i-0", "i-1", "i-2"])
     learn_run_time(pool_state)
     report_all(pool_state, 1.9, start_three_jobs(pool_state, 1.1), 55)
     assert RunMonitor(pool_state, TIMING).check_runs(1.9, 1.9) == []
@@ -83,23 +83,23 @@
 
 
 def test_a_wrong_declared_time_of_a_queue_makes_no_host_slow():
-    pool_state = make(["i-0", "i-1", "i-2"])
+    pool_state = make_pool_state(["i-0", "i-1", "i-2"])
     learn_run_time(pool_state, seconds=4.9)
     report_all(pool_state, 7.9, start_three_jobs(pool_state, 5.1), 55)
     assert RunMonitor(pool_state, TIMING).check_runs(7.9, 7.9) == []
 
 
 def test_a_wrong_declared_time_of_one_job_makes_no_host_slow():
-    pool_state = make(["i-0", "i-1", "i-2"])
+    pool_state = make_pool_state(["i-0", "i-1", "i-2"])
     learn_run_time(pool_state)
-    add(pool_state, "j", job(step(2, estimate=1.0)), "fast")
+    add_job(pool_state, "j", job(step(2, estimate=1.0)), "fast")
     report_all(pool_state, 1.9, start_waiting(pool_state, 1.1), 12)
     assert RunMonitor(pool_state, TIMING).check_runs(1.9, 1.9) == []
 
 
 def test_runs_that_have_just_begun_make_no_host_slow():
     # The host reports the runs without progress, and then nothing for 0.85 s.
-    pool_state = make(["i-0", "i-1", "i-2"])
+    pool_state = make_pool_state(["i-0", "i-1", "i-2"])
     learn_run_time(pool_state)
     begun = start_three_jobs(pool_state, 1.1)
     report_all(pool_state, 1.15, begun, 0)
@@ -107,8 +107,8 @@
 
 
 def test_a_stalled_run_is_stopped_and_resumes_on_another_host():
-    pool_state = make(["i-0", "i-1", "i-2"])
-    add(pool_state, "j", job(step(1)), "slow")
+    pool_state = make_pool_state(["i-0", "i-1", "i-2"])
+    add_job(pool_state, "j", job(step(1)), "slow")
     (begun,) = start_waiting(pool_state, 0.1)
     for now in (0.5, 1.5, 2.5, 3.5):
         for name in pool_state.hosts:
@@ -127,10 +127,10 @@
 
 
 def test_best_effort_tasks_are_throttled_before_a_tail_reaches_its_bound():
-    pool_state = make(["i-0"])
-    add(pool_state, "s", job(step(1, long_running=True, tail_limit=0.1)), "fast")
+    pool_state = make_pool_state(["i-0"])
+    add_job(pool_state, "s", job(step(1, long_running=True, tail_limit=0.1)), "fast")
     (serving,) = start_waiting(pool_state, 0.1)
-    add(pool_state, "f", job(step(1, filler=True)), "slow")
+    add_job(pool_state, "f", job(step(1, filler=True)), "slow")
     (filler,) = start_waiting(pool_state, 0.2)
     run_monitor = RunMonitor(pool_state, TIMING)
     report_host(
@@ -154,7 +154,7 @@
 def start_copyable_task(pool_state, now):
     """Start one task whose step allows copies; return its host and its start."""
     learn_run_time(pool_state)
-    add(pool_state, "c", job(step(1, estimate=1.0, copies=True)), "fast")
+    add_job(pool_state, "c", job(step(1, estimate=1.0, copies=True)), "fast")
     (begun,) = start_waiting(pool_state, now)
     return pool_state.hosts[begun.host], begun
 
@@ -168,7 +168,7 @@
 
 def test_a_task_on_a_silent_host_is_copied_before_the_lease_expires():
     # The host is cut off or has lost power.
-    pool_state = make(["i-0", "i-1"])
+    pool_state = make_pool_state(["i-0", "i-1"])
     host, begun = start_copyable_task(pool_state, 2.0)
     report_progress(pool_state, begun, 2.1, 10)
     host.replied_at = 0.0
@@ -181,7 +181,7 @@
 
 def test_a_slow_task_is_copied_once_and_the_first_end_counts():
     # The host has become four times slower while the task runs.
-    pool_state = make(["i-0", "i-1"])
+    pool_state = make_pool_state(["i-0", "i-1"])
     host, begun = start_copyable_task(pool_state, 2.0)
     report_progress(pool_state, begun, 2.8, 20)
     run_monitor = RunMonitor(pool_state, TIMING)
@@ -198,7 +198,7 @@
 
 
 def test_the_speculative_copy_is_stopped_when_the_first_run_ends():
-    pool_state = make(["i-0", "i-1"])
+    pool_state = make_pool_state(["i-0", "i-1"])
     host, begun = start_copyable_task(pool_state, 2.0)
     report_progress(pool_state, begun, 2.8, 20)
     RunMonitor(pool_state, TIMING).check_runs(2.85, 2.85)
@@ -210,9 +210,9 @@
 
 
 def test_tasks_whose_step_allows_no_copies_are_never_copied():
-    pool_state = make(["i-0", "i-1"])
+    pool_state = make_pool_state(["i-0", "i-1"])
     learn_run_time(pool_state)
-    add(pool_state, "c", job(step(1, estimate=1.0)), "fast")
+    add_job(pool_state, "c", job(step(1, estimate=1.0)), "fast")
     (begun,) = start_waiting(pool_state, 2.0)
     host = pool_state.hosts[begun.host]
     report_progress(pool_state, begun, 2.8, 20)
@@ -222,7 +222,7 @@
 
 
 def test_each_failed_run_of_a_copied_task_counts_once():
-    pool_state = make(["i-0", "i-1"])
+    pool_state = make_pool_state(["i-0", "i-1"])
     host, begun = start_copyable_task(pool_state, 2.0)
     report_progress(pool_state, begun, 2.8, 20)
     RunMonitor(pool_state, TIMING).check_runs(2.85, 2.85)
@@ -246,21 +246,23 @@
 
 def drain_host(pool_state, host, min_stay_s, now):
     """Let a host drain and return the jobs whose runs the monitor stops."""
-    found = pool_state.hosts[host]
-    gone = dataclasses.replace(found.entry, draining=True, min_stay_s=min_stay_s)
-    pool_state.add_or_update_host(gone, now)
+    state = pool_state.hosts[host]
+    draining_entry = dataclasses.replace(
+        state.entry, draining=True, min_stay_s=min_stay_s
+    )
+    pool_state.add_or_update_host(draining_entry, now)
     effects = RunMonitor(pool_state, TIMING).check_runs(now, now)
     return [e.run.key[0].job for e in effects if isinstance(e, StopRun)]
 
 
 def test_runs_that_will_not_end_before_their_host_leaves_are_stopped():
     # The host is drained and leaves after 2.5 s.
-    pool_state = make(["i-0"])
+    pool_state = make_pool_state(["i-0"])
     learn_run_time(pool_state)
-    add(pool_state, "saves", job(step(1, estimate=4.0, checkpoints=True)), "slow")
-    add(pool_state, "lasts", job(step(1, long_running=True)), "slow")
-    add(pool_state, "plain", job(step(1, estimate=9.0)), "slow")
-    add(pool_state, "short", job(step(1, estimate=1.0)), "slow")
+    add_job(pool_state, "saves", job(step(1, estimate=4.0, checkpoints=True)), "slow")
+    add_job(pool_state, "lasts", job(step(1, long_running=True)), "slow")
+    add_job(pool_state, "plain", job(step(1, estimate=9.0)), "slow")
+    add_job(pool_state, "short", job(step(1, estimate=1.0)), "slow")
     begun = start_waiting(pool_state, 2.0)
     report_host(pool_state, "i-0", 2.3, [running_row(effect, 10) for effect in begun])
     assert sorted(drain_host(pool_state, "i-0", 2.5, 2.4)) == ["plain", "saves"]
@@ -271,16 +273,16 @@
 
 
 def test_runs_that_end_before_their_host_leaves_are_not_stopped():
-    pool_state = make(["i-0"])
+    pool_state = make_pool_state(["i-0"])
     report_host(pool_state, "i-0", 1.9)
-    add(pool_state, "saves", job(step(1, estimate=2.0, checkpoints=True)), "slow")
+    add_job(pool_state, "saves", job(step(1, estimate=2.0, checkpoints=True)), "slow")
     (begun,) = start_waiting(pool_state, 2.0)
     report_host(pool_state, "i-0", 2.3, [running_row(begun, 15)])
     assert drain_host(pool_state, "i-0", 2.5, 2.4) == []
 
 
 def test_a_repeated_listing_of_a_draining_host_does_not_postpone_its_leave():
-    pool_state = make(["i-0"])
+    pool_state = make_pool_state(["i-0"])
     for now in (1.0, 2.0):
         drain_host(pool_state, "i-0", 2.5, now)
     assert pool_state.hosts["i-0"].earliest_leave_at == 3.5
