--- a/siskinroad/work/batcher.py
+++ b/siskinroad/work/batcher.py
@@ -50,7 +50,7 @@
 class _PendingAppend:
     record: Record
     deadline: float
-    fut: asyncio.Future[None]
+    future: asyncio.Future[None]
     may_be_stored: bool = False
 
 
@@ -94,14 +94,16 @@
         """
         if self._is_silent():
             raise StoreUnavailableError(
-                "store has not answered since an append got stuck", step="batcher"
+                "record not sent: no answer from the store to any call since an append "
+                "reached the silence limit",
+                step="batcher",
             )
         loop = asyncio.get_running_loop()
-        fut: asyncio.Future[None] = loop.create_future()
-        self._pending.append(_PendingAppend(record, deadline, fut))
+        future: asyncio.Future[None] = loop.create_future()
+        self._pending.append(_PendingAppend(record, deadline, future))
         if self._task is None or self._task.done():
             self._task = loop.create_task(self._run())
-        await fut
+        await future
 
     def close(self) -> None:
         """Stop appending; the batch in flight may still take effect."""
@@ -111,7 +113,7 @@
         self._pending = []
 
     def _is_silent(self) -> bool:
-        """Return whether the store has answered nothing since an append got stuck."""
+        """Return whether no call was answered since an append reached the limit."""
         since = self._silent_since
         return since is not None and self._last_answer_at() <= since
 
@@ -133,7 +135,7 @@
             loop.call_later(
                 STUCK_APPEND_LIMIT,
                 self._refuse_unsent,
-                "append stuck: no answer in time",
+                "append not answered within the stuck-append limit; record not sent",
             ),
         ]
         attempts = 0
@@ -153,24 +155,24 @@
         """Append a batch once; return the records that are to be retried."""
         loop = asyncio.get_running_loop()
         sent_at = loop.time()
-        left = max(pending.deadline for pending in batch) - sent_at
+        remaining_s = max(pending.deadline for pending in batch) - sent_at
         records = [pending.record for pending in batch]
-        timeout = max(DEADLINE_MARGIN, min(self._append_timeout(attempts), left))
+        timeout = max(DEADLINE_MARGIN, min(self._append_timeout(attempts), remaining_s))
         try:
             await self._store.append(self._topic, records, timeout=timeout)
         except StoreUnavailableError as exc:
             not_stored = [pending for pending in batch if not pending.may_be_stored]
             self._fail_all(not_stored, exc)
-            return self._keep_in_time([p for p in batch if p.may_be_stored], exc)
+            return self._fail_expired([p for p in batch if p.may_be_stored], exc)
         except StoreUnknownError as exc:
             for pending in batch:
                 pending.may_be_stored = True
-            return self._keep_in_time(batch, exc)
+            return self._fail_expired(batch, exc)
         self._latency += LATENCY_WEIGHT * (loop.time() - sent_at - self._latency)
         self._silent_since = None
         for pending in batch:
-            if not pending.fut.done():
-                pending.fut.set_result(None)
+            if not pending.future.done():
+                pending.future.set_result(None)
         return []
 
     def _append_timeout(self, attempts: int) -> float:
@@ -180,28 +182,31 @@
     def _refuse_if_silent(self, since: float) -> None:
         if self._last_answer_at() <= since:
             self._silent_since = since
-            self._refuse_unsent("store answers no call")
+            self._refuse_unsent(
+                "no answer from the store to any call within the silence limit; "
+                "record not sent"
+            )
 
-    def _refuse_unsent(self, why: str) -> None:
+    def _refuse_unsent(self, reason: str) -> None:
         """Refuse the records that have not been sent."""
         log.warning(
             "batcher: append not answered; refusing the records queued behind it",
-            extra={"topic": self._topic, "refused": len(self._pending), "why": why},
+            extra={"topic": self._topic, "refused": len(self._pending), "why": reason},
         )
-        self._fail_all(self._pending, StoreUnavailableError(why, step="batcher"))
+        self._fail_all(self._pending, StoreUnavailableError(reason, step="batcher"))
         self._pending = []
 
-    def _keep_in_time(
+    def _fail_expired(
         self, batch: list[_PendingAppend], exc: SiskinroadError
     ) -> list[_PendingAppend]:
-        """Return the records that may be retried; the others' outcome is unknown."""
+        """Fail the records too close to their deadlines; return those to retry."""
         now = asyncio.get_running_loop().time()
         expired = [p for p in batch if p.deadline - now < DEADLINE_MARGIN]
         self._fail_all(expired, StoreUnknownError(str(exc), step="batcher"))
-        return [p for p in batch if p not in expired and not p.fut.done()]
+        return [p for p in batch if p not in expired and not p.future.done()]
 
     @staticmethod
     def _fail_all(batch: list[_PendingAppend], exc: SiskinroadError) -> None:
         for pending in batch:
-            if not pending.fut.done():
-                pending.fut.set_exception(exc)
+            if not pending.future.done():
+                pending.future.set_exception(exc)
--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -74,7 +74,7 @@
     peers : Peers
         Connections to the other daemons.
     register_address : callable
-        Gives the connection layer the address of a member.
+        Called with each new member, to give its address to the connection layer.
     wall : callable
         Returns Unix time in seconds.
     """
@@ -123,7 +123,7 @@
             member.node,
             member.incarnation,
             self.store,
-            platform_clients.link,
+            platform_clients.host_client,
             self.advisor_channels,
             timing,
             self.metrics,
@@ -144,7 +144,7 @@
             member.node,
             self.store,
             self.peer_calls,
-            self._job_writer_of,
+            self._find_job_writer,
             lambda node: self.members.is_alive(node, now()),
             lambda: self.store.last_answer_at,
             self.metrics,
@@ -154,15 +154,15 @@
             self.job_writer,
             self.peer_calls,
             self.owners,
-            self._owner_of,
-            self._capacities,
+            self._find_owner,
+            self._list_capacities,
             self.metrics,
             wall,
             lambda: self.store.last_answer_at,
         )
         peers.receiver = self._receive
-        peers.connected = self._connected
-        peers.disconnected = self._disconnected
+        peers.connected = self._on_connected
+        peers.disconnected = self._on_disconnected
         decoder = platform_clients.decoder
         self.configuration_follower = Follower(
             self.store, decoder.configuration_topic, self._apply_configurations
@@ -171,7 +171,7 @@
             self.store,
             decoder.hosts_topic,
             self._apply_host_list,
-            spacing=HOST_LIST_READ_INTERVAL,
+            read_pause=HOST_LIST_READ_INTERVAL,
         )
         self.members_follower = Follower(
             self.store, MEMBERS_TOPIC, self._apply_members, wait=MEMBERS_READ_WAIT
@@ -196,7 +196,7 @@
             self._run_heartbeats(),
             self.claim_manager.run(),
         ):
-            task = asyncio.get_running_loop().create_task(_log_unexpected_error(coro))
+            task = asyncio.get_running_loop().create_task(_run_and_log_error(coro))
             self._tasks.append(task)
 
     async def drain(self, store_wait: float = 0.0) -> None:
@@ -217,7 +217,8 @@
                     await asyncio.sleep(DRAIN_POLL_INTERVAL)
         except TimeoutError:
             log.warning(
-                "daemon: store did not answer in time; releasing the pools and stopping"
+                "daemon: store did not answer within the drain's store wait; "
+                "releasing the pools and stopping"
             )
         await self.claim_manager.release_all()
 
@@ -288,12 +289,12 @@
             return
         self._register_address(member)
         log.info(
-            "daemon: new member or incarnation",
+            "daemon: registered a new member or a new incarnation",
             extra={"peer": member.node, "incarnation": member.incarnation},
         )
         self.peers.send(member.node, self._make_heartbeat())
 
-    def _connected(self, peer: str) -> None:
+    def _on_connected(self, peer: str) -> None:
         own = self.member
         self.peers.send(
             peer,
@@ -360,8 +361,8 @@
                 self._activate_configuration(configuration)
 
     def _activate_configuration(self, configuration: Configuration) -> None:
-        known = self.job_service.configuration
-        if known is not None and configuration.version <= known.version:
+        current = self.job_service.configuration
+        if current is not None and configuration.version <= current.version:
             return
         self.job_service.configuration = self.claim_manager.configuration = (
             configuration
@@ -390,15 +391,15 @@
         for owner in self.owners.values():
             owner.apply_host_list(self.hosts)
 
-    def _owner_of(self, pool: str) -> str | None:
+    def _find_owner(self, pool: str) -> str | None:
         """Return the daemon that owns a pool, which may be this one."""
         if pool in self.owners:
             return self.member.node
         return self.members.owner(pool, asyncio.get_running_loop().time())
 
-    def _job_writer_of(self, pool: str) -> str:
+    def _find_job_writer(self, pool: str) -> str:
         """Return the pool's job writer, which may be this daemon."""
-        owner = self._owner_of(pool)
+        owner = self._find_owner(pool)
         if owner is not None:
             return owner
         if pool in self.claim_manager.pools:
@@ -412,7 +413,7 @@
         )
         return self.members.job_writer(pool, now, age)
 
-    def _capacities(self, pool: str) -> list[Resources]:
+    def _list_capacities(self, pool: str) -> list[Resources]:
         return [e.capacity for e in self.hosts.values() if e.pool == pool]
 
     # Messages
@@ -454,7 +455,7 @@
             if owner is not None and term > owner.term.number:
                 owner.recheck_claims()
 
-    def _disconnected(self, peer: str) -> None:
+    def _on_disconnected(self, peer: str) -> None:
         """Check whether a peer whose connection has closed is still running.
 
         Without this check, urgent work of a killed owner waits until its
@@ -487,7 +488,7 @@
         self.claim_manager.check_requested.set()
 
     def _run_in_background(self, coro: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(_log_unexpected_error(coro))
+        task = asyncio.get_running_loop().create_task(_run_and_log_error(coro))
         self._background_tasks.add(task)
         task.add_done_callback(self._background_tasks.discard)
 
@@ -498,12 +499,12 @@
         self._run_in_background(send())
 
 
-async def _log_unexpected_error(coro: Coroutine[Any, Any, None]) -> None:
-    """Log the exception that ends a background task, then raise it again."""
+async def _run_and_log_error(coro: Coroutine[Any, Any, None]) -> None:
+    """Run a background task; log and reraise an exception that ends it."""
     try:
         await coro
     except asyncio.CancelledError:
         raise
     except Exception:
-        log.exception("daemon: background task failed")
+        log.exception("daemon: background task failed; it is not restarted")
         raise
--- a/siskinroad/work/follower.py
+++ b/siskinroad/work/follower.py
@@ -27,7 +27,7 @@
 
 log = logging.getLogger("siskinroad.follower")
 
-Apply = Callable[[tuple[NewestRecord, ...], bool], None]
+ApplyRecords = Callable[[tuple[NewestRecord, ...], bool], None]
 
 
 @dataclass(slots=True, frozen=True)
@@ -50,8 +50,8 @@
         snapshot: the newest record of every key, so that any other key is gone.
     wait : float
         Seconds for which the store may hold a read open for a new record.
-    spacing : float
-        Least seconds between two reads.
+    read_pause : float
+        Seconds to wait after each successful read before the next.
 
     Attributes
     ----------
@@ -64,10 +64,10 @@
         self,
         store: Store,
         topic: str,
-        apply: Apply,
+        apply: ApplyRecords,
         *,
         wait: float = 1.0,
-        spacing: float = 0.0,
+        read_pause: float = 0.0,
     ) -> None:
         self.store = store
         self.topic = topic
@@ -76,7 +76,7 @@
         self.is_reachable = True
         self._apply = apply
         self._wait = wait
-        self._spacing = spacing
+        self._spacing = read_pause
         self._read_timeout: asyncio.Timeout | None = None
 
     def restart_read(self) -> None:
@@ -89,7 +89,7 @@
             self._read_timeout.reschedule(-1)
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the topic until cancelled."""
         pause = FIRST_RETRY_PAUSE
         while True:
             try:
@@ -150,8 +150,8 @@
             timeout=self._wait + REPLY_TIMEOUT,
         )
         self._reject_stale(result.end)
-        at_end = result.next_offset >= result.end
-        confirmed_at = sent_at if at_end else self.confirmed_at
+        is_at_end = result.next_offset >= result.end
+        confirmed_at = sent_at if is_at_end else self.confirmed_at
         return _FetchResult(
             _with_offsets(result), False, result.next_offset, confirmed_at
         )
@@ -178,7 +178,9 @@
             return
         self.is_reachable = is_reachable
         text = (
-            "follower: read succeeds again" if is_reachable else "follower: read failed"
+            "follower: read succeeds again"
+            if is_reachable
+            else "follower: read failed; retrying until one succeeds"
         )
         log.warning(
             text,
--- a/siskinroad/work/host_commands.py
+++ b/siskinroad/work/host_commands.py
@@ -49,7 +49,7 @@
         self.term = term
         self._semaphores: dict[str, asyncio.Semaphore] = {}
 
-    def _semaphore(self, host: str) -> asyncio.Semaphore:
+    def _get_semaphore(self, host: str) -> asyncio.Semaphore:
         semaphore = self._semaphores.get(host)
         if semaphore is None:
             semaphore = self._semaphores[host] = asyncio.Semaphore(
@@ -63,38 +63,38 @@
         if host is None:
             return
         loop = asyncio.get_running_loop()
-        async with self._semaphore(host.name):
+        async with self._get_semaphore(host.name):
             now = loop.time()
             if not self.term.pool_state.may_send(host, effect.run):
                 self.term.execute_effects(
                     self.term.pool_state.drop_start(host, effect.run, now)
                 )
                 return
-            until = host.lease_until(now)
-            if until is None or not self.term.is_owner_confirmed():
+            lease_until_ms = host.lease_until(now)
+            if lease_until_ms is None or not self.term.is_owner_confirmed():
                 self.term.execute_effects(
                     self.term.pool_state.note_start_not_sent(host, effect.run, now)
                 )
                 return
             # The token may have been raised since the effect was created, and the host
-            # would reject the old one.
+            # would reject the lower one.
             effect.run.token = host.token
             host.extend_lease_expiry(now)
-            task, number = effect.run.key
+            task, run_number = effect.run.key
             command = StartCommand(
                 host.name,
                 host.entry.address,
                 host.token,
                 task,
-                number,
+                run_number,
                 effect.payload,
-                until,
+                lease_until_ms,
                 effect.checkpoint,
                 effect.ticket,
             )
             effects = await self._send_start(host, effect.run, command)
         self.term.execute_effects(effects)
-        self.term.plan_wanted.set()
+        self.term.plan_requested.set()
 
     async def _send_start(
         self, host: Host, run: Run, command: StartCommand
@@ -104,7 +104,7 @@
         outcome = "started"
         try:
             async with asyncio.timeout(host.reply_timeout_s()):
-                reply = await self.term.dependencies.link.start(command)
+                reply = await self.term.dependencies.host_client.start(command)
         except NotSentError as exc:
             outcome = f"not sent: {exc}"
             effects = self.term.pool_state.note_start_not_sent(host, run, loop.time())
@@ -123,7 +123,7 @@
                 outcome = reply.rejection.value
         self.term.dependencies.metrics.starts.labels(outcome.partition(":")[0]).inc()
         log.info(
-            "host_commands: start command",
+            "host_commands: start command finished",
             extra={
                 "request": command.task.job,
                 "task": (
@@ -155,23 +155,23 @@
 
     async def stop(self, effect: StopRun) -> None:
         """Send a stop, repeated until it is answered or the run has ended."""
-        task, number = effect.run.key
+        task, run_number = effect.run.key
         while True:
             host = self.term.pool_state.hosts.get(effect.host)
             if host is None:
                 return
-            async with self._semaphore(host.name):
+            async with self._get_semaphore(host.name):
                 if effect.run.state == "over":
                     return
                 # The token may have been raised while this waited for the semaphore.
                 command = self._make_command(host, effect.run)
                 outcome, is_final = await self._send_stop(command)
             log.info(
-                "host_commands: stop command",
+                "host_commands: stop command finished",
                 extra={
                     "request": task.job,
                     "task": f"{task.occurrence}.{task.step}.{task.index}",
-                    "run": number,
+                    "run": run_number,
                     "host": host.name,
                     "token": command.token,
                     "why": effect.reason,
@@ -186,7 +186,7 @@
         """Send one stop; return its outcome and whether it is final."""
         try:
             async with asyncio.timeout(COMMAND_TIMEOUT):
-                reply = await self.term.dependencies.link.stop(command)
+                reply = await self.term.dependencies.host_client.stop(command)
         except (NotSentError, OutcomeUnknownError, TimeoutError) as exc:
             return f"unknown: {exc}", False
         if reply.rejection is None:
@@ -197,8 +197,8 @@
         return reply.rejection.value, not is_retryable
 
     def _make_command(self, host: Host, run: Run) -> HostCommand:
-        task, number = run.key
-        return HostCommand(host.name, host.entry.address, host.token, task, number)
+        task, run_number = run.key
+        return HostCommand(host.name, host.entry.address, host.token, task, run_number)
 
     async def throttle(self, effect: ThrottleRun) -> None:
         """Throttle a run; if there is no answer, the monitor decides again later."""
@@ -207,14 +207,16 @@
             return
         outcome = "sent"
         try:
-            async with self._semaphore(host.name), asyncio.timeout(COMMAND_TIMEOUT):
+            async with self._get_semaphore(host.name), asyncio.timeout(COMMAND_TIMEOUT):
                 command = self._make_command(host, effect.run)
-                await self.term.dependencies.link.throttle(command, effect.percent)
+                await self.term.dependencies.host_client.throttle(
+                    command, effect.percent
+                )
         except (NotSentError, OutcomeUnknownError, TimeoutError) as exc:
             outcome = f"unknown: {exc}"
             effect.run.speed_percent = -1
         log.info(
-            "host_commands: throttle command",
+            "host_commands: throttle command finished",
             extra={
                 "request": effect.run.key[0].job,
                 "host": host.name,
@@ -237,9 +239,9 @@
             self.term.dependencies.metrics.retries.labels("advice").inc()
             await asyncio.sleep(ADVICE_RETRY_INTERVAL)
         else:
-            until = loop.time() + result.valid
-            step.asked_hosts.update(effect.hosts)
+            valid_until = loop.time() + result.valid
+            step.queried_hosts.update(effect.hosts)
             for host, ticket in result.tickets.items():
-                step.tickets[host] = (ticket, until)
+                step.tickets[host] = (ticket, valid_until)
         step.is_advice_pending = False
-        self.term.plan_wanted.set()
+        self.term.plan_requested.set()
--- a/siskinroad/work/hosts.py
+++ b/siskinroad/work/hosts.py
@@ -11,8 +11,8 @@
 __all__ = [
     "CommandReply",
     "EndKind",
+    "HostClient",
     "HostCommand",
-    "HostLink",
     "HostReport",
     "Rejection",
     "RunEnd",
@@ -39,8 +39,9 @@
 class Rejection(StrEnum):
     """Why a host rejected a command.
 
-    ``FENCED``: it has seen a higher fencing token. ``OLD``: it has stopped or ended
-    this run or a later one. ``LATE``: the lease in the command has expired.
+    ``FENCED``: it has seen a higher fencing token. ``STALE_RUN``: it has stopped or
+    ended this run or a later one. ``EXPIRED_LEASE``: the lease in the command has
+    expired.
     ``NO_CAPACITY``: it lacks free capacity. ``TICKET``: the ticket is missing or has
     expired. ``OTHER_INCARNATION``: another incarnation of the host replied at the
     address. ``UNAVAILABLE``: it accepts no work at present. ``INVALID``: it cannot
@@ -48,8 +49,8 @@
     """
 
     FENCED = "fenced"
-    OLD = "old"
-    LATE = "late"
+    STALE_RUN = "old"
+    EXPIRED_LEASE = "late"
     NO_CAPACITY = "room"
     TICKET = "ticket"
     OTHER_INCARNATION = "other_life"
@@ -170,7 +171,7 @@
     ended: tuple[RunEnd, ...]
 
 
-class HostLink(ABC):
+class HostClient(ABC):
     """Client that sends commands to hosts.
 
     Every method raises ``NotSentError`` if nothing was sent and
--- a/siskinroad/work/hosts_memory.py
+++ b/siskinroad/work/hosts_memory.py
@@ -11,8 +11,8 @@
 from siskinroad.work.hosts import (
     CommandReply,
     EndKind,
+    HostClient,
     HostCommand,
-    HostLink,
     HostReport,
     Rejection,
     RunEnd,
@@ -58,13 +58,13 @@
 
     Attributes
     ----------
-    work : float
+    task_duration_s : float
         Duration of each task in seconds.
     end_kind : EndKind
         How each task ends.
     failing_jobs : set of str
         Jobs whose tasks always fail, regardless of ``end_kind``.
-    silent : bool
+    is_silent : bool
         Whether commands are lost: they have no effect and get no reply.
     unanswered_starts : int
         Number of further starts that get no reply.
@@ -79,6 +79,8 @@
         Ends of runs not yet acknowledged.
     last_run : dict of TaskId to int
         Highest run number started or stopped, by task.
+    last_end_number : int
+        Number of the latest end; 0 before the first.
     """
 
     entry: HostEntry
@@ -86,7 +88,7 @@
     task_duration_s: float = 1.0
     end_kind: EndKind = EndKind.DONE
     failing_jobs: set[str] = field(default_factory=set)
-    silent: bool = False
+    is_silent: bool = False
     unanswered_starts: int = 0
     late_start_delay: float = -1.0
     token: int = 0
@@ -95,7 +97,7 @@
     runs: dict[TaskId, _Run] = field(default_factory=dict)
     last_run: dict[TaskId, int] = field(default_factory=dict)
     starts: list[ExecutedStart] = field(default_factory=list)
-    number: int = 0
+    last_end_number: int = 0
 
     def clock(self) -> int:
         """Return the host's own clock in milliseconds."""
@@ -113,9 +115,9 @@
 
     def _end_run(self, run: _Run, end_kind: EndKind) -> None:
         del self.runs[run.task]
-        self.number += 1
+        self.last_end_number += 1
         self.ends.append(
-            RunEnd(self.number, run.task, run.run, end_kind, run.checkpoint)
+            RunEnd(self.last_end_number, run.task, run.run, end_kind, run.checkpoint)
         )
 
     def accept(self, command: StartCommand) -> Rejection | None:
@@ -125,12 +127,12 @@
             return Rejection.FENCED
         self.token = command.token
         if command.lease_until <= self.clock():
-            return Rejection.LATE
+            return Rejection.EXPIRED_LEASE
         known = self.runs.get(command.task)
         if known is not None and known.run == command.run:
             return None
         if command.run <= self.last_run.get(command.task, 0):
-            return Rejection.OLD
+            return Rejection.STALE_RUN
         self.lease_until = max(self.lease_until, command.lease_until)
         self.last_run[command.task] = command.run
         loop = asyncio.get_running_loop()
@@ -169,7 +171,7 @@
         return total
 
 
-class MemoryHosts(HostLink):
+class MemoryHosts(HostClient):
     """Client of simulated hosts, shared by all daemons of a test."""
 
     def __init__(self) -> None:
@@ -189,7 +191,7 @@
         self.calls += 1
         await asyncio.sleep(0.001)
         host = self.hosts.get(name)
-        if host is not None and host.silent:
+        if host is not None and host.is_silent:
             await asyncio.sleep(NO_REPLY_TIME)
             raise OutcomeUnknownError("host did not reply", step="hosts", peer=name)
         return host
@@ -262,14 +264,14 @@
 
     Parameters
     ----------
-    decision : float
+    call_duration_s : float
         Seconds that each call takes.
     valid : float
         Seconds for which the tickets can be used.
     """
 
-    def __init__(self, decision: float = 0.02, valid: float = 2.0) -> None:
-        self.decision = decision
+    def __init__(self, call_duration_s: float = 0.02, valid: float = 2.0) -> None:
+        self.call_duration_s = call_duration_s
         self.valid = valid
         self.denied: set[str] = set()
         self.calls = 0
@@ -279,6 +281,6 @@
     ) -> AdviceResult:
         """Return a ticket for each host not denied; see the base class."""
         self.calls += 1
-        await asyncio.sleep(self.decision)
+        await asyncio.sleep(self.call_duration_s)
         tickets = {host: f"t-{host}" for host in hosts if host not in self.denied}
         return AdviceResult(tickets, self.valid)
--- a/siskinroad/work/job_service.py
+++ b/siskinroad/work/job_service.py
@@ -78,13 +78,15 @@
     retry_after: float = 0.0
 
 
-def _refuse_for_now(reason: str, outage: float = 0.0) -> CallerReply:
+def _refuse_for_now(reason: str, outage_s: float = 0.0) -> CallerReply:
     """Refuse with a retry time that grows with the age of the outage.
 
     An outage that has lasted for a while is likely to last for as long again.
     """
-    wait = min(MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, outage * RETRY_AFTER_FACTOR))
-    return CallerReply(ReplyKind.NOT_NOW, reason=reason, retry_after=wait)
+    retry_after_s = min(
+        MAX_RETRY_AFTER, max(MIN_RETRY_AFTER, outage_s * RETRY_AFTER_FACTOR)
+    )
+    return CallerReply(ReplyKind.NOT_NOW, reason=reason, retry_after=retry_after_s)
 
 
 class JobService:
@@ -128,7 +130,7 @@
         self._wall = wall
         self._last_store_answer_at = last_store_answer_at
 
-    def _store_age(self) -> float:
+    def _store_age_s(self) -> float:
         return asyncio.get_running_loop().time() - self._last_store_answer_at()
 
     def find_queue(self, virtual_host: str, path: str) -> Queue | CallerReply:
@@ -142,26 +144,28 @@
         self, queue: Queue, job: str, spec: JobSpec, deadline: float
     ) -> CallerReply:
         """Store a job; it is accepted once it is stored."""
-        never = self._describe_unfit_step(queue, spec)
-        if never:
+        unfit_reason = self._describe_unfit_step(queue, spec)
+        if unfit_reason:
             return self._log_reply(
-                job, "submit", CallerReply(ReplyKind.NEVER, reason=never)
+                job, "submit", CallerReply(ReplyKind.NEVER, reason=unfit_reason)
             )
-        if self._store_age() > STORE_SILENCE_LIMIT:
-            reply = _refuse_for_now("store_silent", self._store_age())
+        if self._store_age_s() > STORE_SILENCE_LIMIT:
+            reply = _refuse_for_now("store_silent", self._store_age_s())
             return self._log_reply(job, "submit", reply, queue)
         accepted = Accepted(job, queue.name, queue.pool, self._wall(), spec)
-        until = deadline - DEADLINE_MARGIN
-        outcome = await self._job_writer.store(queue.pool, record_of(accepted), until)
+        append_deadline = deadline - DEADLINE_MARGIN
+        outcome = await self._job_writer.store(
+            queue.pool, record_of(accepted), append_deadline
+        )
         reply = self._make_submit_reply(outcome)
         return self._log_reply(job, "submit", reply, queue)
 
     def _describe_unfit_step(self, queue: Queue, spec: JobSpec) -> str:
-        sizes = self._list_capacities(queue.pool)
-        if not sizes:
+        capacities = self._list_capacities(queue.pool)
+        if not capacities:
             return ""
         for i, step in enumerate(spec.steps):
-            if not any(step.need.fits(size) for size in sizes):
+            if not any(step.need.fits(capacity) for capacity in capacities):
                 return f"no host can hold a task of step {i}"
         return ""
 
@@ -170,7 +174,7 @@
             case SubmitOutcome.STORED:
                 return CallerReply(ReplyKind.OK)
             case SubmitOutcome.NOT_DONE:
-                return _refuse_for_now("store_unavailable", self._store_age())
+                return _refuse_for_now("store_unavailable", self._store_age_s())
             case SubmitOutcome.UNKNOWN:
                 return CallerReply(ReplyKind.UNKNOWN, reason="store_did_not_answer")
 
@@ -184,8 +188,8 @@
         reply = await self._request_owner(queue.pool, "cancel", job, deadline)
         if reply.kind is ReplyKind.NOT_NOW:
             record = record_of(Cancelled(job, self._wall()))
-            until = deadline - DEADLINE_MARGIN
-            outcome = await self._job_writer.store(queue.pool, record, until)
+            append_deadline = deadline - DEADLINE_MARGIN
+            outcome = await self._job_writer.store(queue.pool, record, append_deadline)
             reply = self._make_submit_reply(outcome)
         return self._log_reply(job, "cancel", reply, queue)
 
@@ -210,7 +214,7 @@
                 pool, verb, subject, min(OWNER_REQUEST_TIMEOUT, remaining_s)
             )
             if owner_reply is not None and not owner_reply.unknown_reason:
-                return _make_owner_reply(verb, owner_reply)
+                return _convert_owner_reply(verb, owner_reply)
             if owner_reply is not None:
                 reason = owner_reply.unknown_reason
         return _refuse_for_now(reason)
@@ -235,7 +239,7 @@
     async def handle_request(
         self, msg: JobRequest, timeout: float = OWNER_REQUEST_TIMEOUT
     ) -> JobReply:
-        """Answer another daemon's request about a pool that this daemon owns."""
+        """Answer a request about a pool that this daemon owns."""
         owner = self._owners.get(msg.pool)
         if owner is None:
             return JobReply(msg.id, "not_owner", "", 0)
@@ -244,13 +248,13 @@
                 case "show":
                     return JobReply(msg.id, "", owner.show(msg.subject) or "", 0)
                 case "cancel":
-                    known = await owner.cancel(msg.subject, timeout)
-                    return JobReply(msg.id, "", "cancelled" if known else "", 0)
+                    is_known = await owner.cancel(msg.subject, timeout)
+                    return JobReply(msg.id, "", "cancelled" if is_known else "", 0)
                 case "pending":
                     return JobReply(msg.id, "", "", owner.count_pending(msg.subject))
         except SiskinroadError as exc:
             log.warning(
-                "job_service: owner could not answer the request",
+                "job_service: owner could not answer; replying owner_unsure",
                 extra={"request": msg.subject, "verb": msg.verb, "error": str(exc)},
             )
             return JobReply(msg.id, "owner_unsure", "", 0)
@@ -268,7 +272,7 @@
                 "verb": verb,
                 "queue": queue.name if queue else None,
                 "version": self.configuration.version if self.configuration else None,
-                "store_age_s": round(self._store_age(), 1),
+                "store_age_s": round(self._store_age_s(), 1),
                 "owner": self._find_owner(queue.pool) if queue else None,
                 "outcome": reply.kind.value,
                 "state": reply.state,
@@ -278,7 +282,7 @@
         return reply
 
 
-def _make_owner_reply(verb: str, owner_reply: JobReply) -> CallerReply:
+def _convert_owner_reply(verb: str, owner_reply: JobReply) -> CallerReply:
     if verb == "pending":
         return CallerReply(ReplyKind.OK, pending=owner_reply.pending)
     if not owner_reply.state:
--- a/siskinroad/work/job_writer.py
+++ b/siskinroad/work/job_writer.py
@@ -83,8 +83,8 @@
             return outcome
         direct = await self.append(pool, record, deadline)
         # The job writer may still store the record even if the direct append failed.
-        stored = direct is SubmitOutcome.STORED
-        return SubmitOutcome.STORED if stored else SubmitOutcome.UNKNOWN
+        is_stored = direct is SubmitOutcome.STORED
+        return SubmitOutcome.STORED if is_stored else SubmitOutcome.UNKNOWN
 
     async def _submit_to_job_writer(
         self, pool: str, record: Record, deadline: float
--- a/siskinroad/work/lease_renewer.py
+++ b/siskinroad/work/lease_renewer.py
@@ -55,7 +55,9 @@
             if not self.term.is_owner_confirmed():
                 await asyncio.sleep(RENEWAL_RETRY_INTERVAL)
                 continue
-            wait = _report_wait(host) if host.settled and not host.is_failing else 0.0
+            wait = (
+                _renewal_wait_s(host) if host.settled and not host.is_failing else 0.0
+            )
             if host.last_end_seen > host.last_end_stored:
                 wait = 0.0
             if not await self._renew_once(host, wait):
@@ -69,18 +71,18 @@
         sent_at = loop.time()
         # A host that does not answer is granted no further lease: a delayed call
         # must not prolong runs that are about to be started elsewhere.
-        until = None if host.is_failing else host.lease_until(sent_at)
-        if until is not None:
+        lease_until_ms = None if host.is_failing else host.lease_until(sent_at)
+        if lease_until_ms is not None:
             host.extend_lease_expiry(sent_at)
         token = host.token
         try:
             async with asyncio.timeout(wait + host.reply_timeout_s()):
-                report = await self.term.dependencies.link.renew_lease(
+                report = await self.term.dependencies.host_client.renew_lease(
                     host.name,
                     host.entry.address,
                     token,
                     host.last_end_stored,
-                    until,
+                    lease_until_ms,
                     wait,
                 )
         except (NotSentError, OutcomeUnknownError, TimeoutError) as exc:
@@ -95,14 +97,15 @@
         self.term.execute_effects(effects)
         settled = self.term.pool_state.settle_tasks(now)
         if settled or report.ended or report.running:
-            self.term.plan_wanted.set()
+            self.term.plan_requested.set()
         return True
 
     def _note_call_failed(self, host: Host, exc: Exception) -> None:
         now = asyncio.get_running_loop().time()
         if not host.is_failing:
             log.warning(
-                "lease_renewer: host did not answer; no lease or start until it does",
+                "lease_renewer: renewal not answered; "
+                "granting the host no lease and no start until it answers",
                 extra={
                     "host": host.name,
                     "silent_s": round(now - host.reported_at, 2),
@@ -117,7 +120,8 @@
         if rejection is Rejection.OTHER_INCARNATION:
             now = asyncio.get_running_loop().time()
             log.warning(
-                "lease_renewer: host was restarted: it reports another incarnation",
+                "lease_renewer: host reports another incarnation; "
+                "treating it as restarted",
                 extra={"host": host.name},
             )
             host.record_failed_request()
@@ -126,14 +130,14 @@
 
     async def _wait_until_stored(self, host: Host) -> None:
         """Wait briefly until the ends that a host has listed are stored."""
-        self.term.store_wanted.set()
-        until = asyncio.get_running_loop().time() + END_STORED_TIMEOUT
+        self.term.flush_requested.set()
+        deadline = asyncio.get_running_loop().time() + END_STORED_TIMEOUT
         while host.last_end_seen > host.last_end_stored:
-            left = until - asyncio.get_running_loop().time()
-            if left <= 0:
+            remaining_s = deadline - asyncio.get_running_loop().time()
+            if remaining_s <= 0:
                 return
             try:
-                async with asyncio.timeout(left):
+                async with asyncio.timeout(remaining_s):
                     await self._progress.flushed.wait()
             except TimeoutError:
                 return
@@ -151,12 +155,14 @@
             ):
                 return
             if self.term.is_owner_confirmed() and await self._renew_once(host, 0.0):
-                self.term.plan_wanted.set()
+                self.term.plan_requested.set()
                 return
             await asyncio.sleep(RECONCILE_RETRY_INTERVAL)
 
 
-def _report_wait(host: Host) -> float:
+def _renewal_wait_s(host: Host) -> float:
     """Return the seconds for which the host may hold the call open."""
-    short = any(0 < run.declared_s < SHORT_TASK_TIME for run in host.runs.values())
-    return SHORT_TASK_RENEWAL_WAIT if short else RENEWAL_WAIT
+    has_short_task = any(
+        0 < run.declared_s < SHORT_TASK_TIME for run in host.runs.values()
+    )
+    return SHORT_TASK_RENEWAL_WAIT if has_short_task else RENEWAL_WAIT
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -35,9 +35,9 @@
 
 __all__ = ["OwnershipLostError", "PoolOwner"]
 
-# Seconds between two checks of everything that depends on time.
+# Seconds between two checks of the claim, silent hosts, due occurrences and runs.
 TICK_INTERVAL = 0.2
-# Seconds for which events are collected before the next planning round.
+# Seconds for which events are collected before the next planning pass.
 PLAN_DELAY = 0.004
 # Seconds before its due time at which an occurrence may already start.
 EARLY_START_TIME = 0.05
@@ -124,8 +124,10 @@
         former = self.former
         if former is None or not self._is_former_sole_owner:
             return
-        later = self.dependencies.has_later_incarnation(former.node, former.incarnation)
-        if self._is_former_released or later:
+        has_restarted = self.dependencies.has_later_incarnation(
+            former.node, former.incarnation
+        )
+        if self._is_former_released or has_restarted:
             self.pool_state.note_former_owner_dead(now + LEASE_S * 1.1)
             self.former = None
 
@@ -152,7 +154,7 @@
             self.term.group = None
 
     async def release(self) -> None:
-        """Store unrecorded progress and release the pool; call this after ``run``."""
+        """Store the remaining progress, then release the pool; call after ``run``."""
         extra = {"pool": self.pool, "term": self.term.number}
         try:
             while self.progress.has_unstored_changes:
@@ -167,7 +169,8 @@
             await release_pool(self.dependencies.store, self.pool, self.term.number)
         except SiskinroadError as exc:
             log.warning(
-                "owner: release of the pool not stored",
+                "owner: release of the pool not stored; "
+                "the next owner waits longer for silent hosts",
                 extra={**extra, "error": str(exc)},
             )
 
@@ -193,7 +196,7 @@
     def configure(self, configuration: Configuration) -> None:
         """Apply a configuration."""
         self.pool_state.configure(configuration)
-        self.term.plan_wanted.set()
+        self.term.plan_requested.set()
 
     def apply_host_list(self, entries: dict[str, HostEntry]) -> None:
         """Apply the live host list."""
@@ -206,7 +209,7 @@
             listed = entries.get(name)
             if listed is None or listed.pool != self.pool:
                 self.pool_state.note_host_unlisted(name, now)
-        self.term.plan_wanted.set()
+        self.term.plan_requested.set()
 
     # Accepted jobs
 
@@ -219,10 +222,14 @@
         for item in items:
             if item.value:
                 self._apply_record(item, now, wall)
-        self.term.plan_wanted.set()
+        self.term.plan_requested.set()
 
     def _check_claims(self, items: tuple[NewestRecord, ...]) -> None:
-        """Raise before any job is accepted that was stored after a later claim."""
+        """Raise ``OwnershipLostError`` if the records hold a claim of a later term.
+
+        Called before the records are applied: jobs stored after that claim belong to
+        the new owner.
+        """
         for item in items:
             if item.key == OWNER_KEY and item.offset + 1 > self.term.number:
                 self.term.owned_until = -1e9
@@ -242,11 +249,11 @@
             return
         match stored:
             case Accepted(job=job):
-                known = job in self.pool_state.jobs
+                is_known = job in self.pool_state.jobs
                 self.pool_state.accept(
                     stored, now, wall, is_new=item.offset + 1 > self.term.number
                 )
-                if not known:
+                if not is_known:
                     log.info(
                         "owner: job accepted",
                         extra={
@@ -258,16 +265,16 @@
                     )
             case Cancelled(job=job):
                 self._execute_effects(self.pool_state.cancel(job, now, wall))
-                self.term.store_wanted.set()
+                self.term.flush_requested.set()
 
     # Planning
 
     async def _run_planning(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await self.term.plan_wanted.wait()
+            await self.term.plan_requested.wait()
             await asyncio.sleep(PLAN_DELAY)
-            self.term.plan_wanted.clear()
+            self.term.plan_requested.clear()
             if not self.term.is_owner_confirmed():
                 continue
             now, wall = loop.time(), self.dependencies.wall()
@@ -279,8 +286,8 @@
         while True:
             await asyncio.sleep(TICK_INTERVAL)
             now, wall = loop.time(), self.dependencies.wall()
-            confirmed = self.follower.confirmed_at + OWNERSHIP_TIMEOUT_S
-            self.term.owned_until = max(self.term.owned_until, confirmed)
+            confirmed_until = self.follower.confirmed_at + OWNERSHIP_TIMEOUT_S
+            self.term.owned_until = max(self.term.owned_until, confirmed_until)
             self._check_former_owner(now)
             effects = self.pool_state.expire_silent_hosts(now)
             self.pool_state.settle_tasks(now)
@@ -288,8 +295,8 @@
             effects += self.run_monitor.check_runs(now, wall)
             self._execute_effects(effects)
             if self.progress.has_unstored_changes:
-                self.term.store_wanted.set()
-            self.term.plan_wanted.set()
+                self.term.flush_requested.set()
+            self.term.plan_requested.set()
 
     def _execute_effects(self, effects: list[Effect]) -> None:
         for effect in effects:
@@ -305,7 +312,7 @@
                 case RequestAdvice():
                     self.term.spawn(self.host_commands.request_advice(effect))
         if self.pool_state.dirty:
-            self.term.store_wanted.set()
+            self.term.flush_requested.set()
 
     # Requests from callers
 
@@ -327,7 +334,9 @@
         age = asyncio.get_running_loop().time() - self.follower.confirmed_at
         if age > MAX_RECORD_AGE:
             raise SiskinroadError(
-                f"last confirmed read was {age:.1f} s ago", step="owner.show"
+                f"last confirmed read was {age:.1f} s ago, "
+                "too long to answer about missing or pending jobs",
+                step="owner.show",
             )
 
     async def cancel(self, job_id: str, timeout: float) -> bool:
@@ -345,15 +354,17 @@
         if job.stored_outcome:
             return True
         now, wall = asyncio.get_running_loop().time(), self.dependencies.wall()
-        waiter = self.progress.get_stored_event(job_id)
+        stored_event = self.progress.get_stored_event(job_id)
         self._execute_effects(self.pool_state.cancel(job_id, now, wall))
-        self.term.store_wanted.set()
+        self.term.flush_requested.set()
         try:
             async with asyncio.timeout(timeout):
-                await waiter.wait()
+                await stored_event.wait()
         except TimeoutError:
             raise StoreUnknownError(
-                "cancellation not stored in time", step="owner.cancel"
+                "cancellation not stored within the request's time limit; "
+                "it may still be stored",
+                step="owner.cancel",
             ) from None
         return True
 
--- a/siskinroad/work/platform_clients.py
+++ b/siskinroad/work/platform_clients.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from siskinroad.work.advice import Advisor
-from siskinroad.work.hosts import HostLink
+from siskinroad.work.hosts import HostClient
 from siskinroad.work.model import Configuration, HostEntry
 from siskinroad.work.store import Store
 
@@ -39,6 +39,6 @@
     """The clients of the platform's services."""
 
     store: Store
-    link: HostLink
+    host_client: HostClient
     advisor: Advisor
     decoder: Decoder
--- a/siskinroad/work/progress.py
+++ b/siskinroad/work/progress.py
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True, frozen=True)
 class _Batch:
-    """One append of progress, and what storing it allows to show and acknowledge."""
+    """One append of progress, and the outcomes and ends that become durable with it."""
 
     records: tuple[Record, ...]
     outcomes: tuple[tuple[Job, str], ...]
@@ -62,7 +62,7 @@
         self._stored_hosts = hosts
         self._sequence = 0
         self._batch: _Batch | None = None
-        self._waiters: dict[str, asyncio.Event] = {}
+        self._stored_events: dict[str, asyncio.Event] = {}
 
     @property
     def has_unstored_changes(self) -> bool:
@@ -72,8 +72,8 @@
 
     def get_stored_event(self, job_id: str) -> asyncio.Event:
         """Return an event that is set once the job's outcome is stored."""
-        self.term.store_wanted.set()
-        return self._waiters.setdefault(job_id, asyncio.Event())
+        self.term.flush_requested.set()
+        return self._stored_events.setdefault(job_id, asyncio.Event())
 
     async def run(self) -> None:
         """Store every change, in batches, until cancelled.
@@ -84,8 +84,8 @@
             A later term has fenced this one.
         """
         while True:
-            await self.term.store_wanted.wait()
-            self.term.store_wanted.clear()
+            await self.term.flush_requested.wait()
+            self.term.flush_requested.clear()
             try:
                 await self.flush()
             except (StoreUnavailableError, StoreUnknownError) as exc:
@@ -93,7 +93,7 @@
                     "progress: append failed; retrying",
                     extra={"pool": self.term.pool, "error": str(exc)},
                 )
-                self.term.store_wanted.set()
+                self.term.flush_requested.set()
                 await asyncio.sleep(FLUSH_RETRY_INTERVAL)
                 continue
             except FencedError as exc:
@@ -131,7 +131,7 @@
         self._batch = None
         self._mark_stored(batch)
         if self.term.pool_state.dirty:
-            self.term.store_wanted.set()
+            self.term.flush_requested.set()
 
     def _make_batch(self) -> _Batch:
         changed = list(self.term.pool_state.dirty)[:MAX_RECORDS_PER_APPEND]
@@ -161,9 +161,9 @@
                 self.term.pool_state.hosts[name].is_stored = True
         for job, outcome in batch.outcomes:
             job.stored_outcome = outcome
-            waiter = self._waiters.pop(job.id, None)
-            if waiter is not None:
-                waiter.set()
+            stored_event = self._stored_events.pop(job.id, None)
+            if stored_event is not None:
+                stored_event.set()
         for name, incarnation_ms, last_end_seen in batch.ends_seen:
             host = self.term.pool_state.hosts.get(name)
             if host is not None and host.incarnation_ms == incarnation_ms:
--- a/siskinroad/work/records.py
+++ b/siskinroad/work/records.py
@@ -40,7 +40,7 @@
 
 
 class Accepted(msgspec.Struct, tag="job", frozen=True, omit_defaults=True):
-    """A job whose acceptance the caller was told of; ``at`` is Unix time in seconds."""
+    """A submitted job, accepted once this is stored; ``at`` is Unix time in seconds."""
 
     job: str
     queue: str
@@ -158,7 +158,7 @@
     Raises
     ------
     ProtocolError
-        If the bytes do not encode one.
+        If the bytes do not encode a stored value.
     """
     try:
         return _DECODER.decode(value)
--- a/siskinroad/work/relay.py
+++ b/siskinroad/work/relay.py
@@ -136,7 +136,7 @@
         self._direct_failed = False
         self._next_probe_at = -1e9
         self._probe_tasks: set[asyncio.Task[None]] = set()
-        self._relay_turn = 0
+        self._relay_index = 0
         self.direct_answer_at = -1e9
         self.relayed_answer_at = -1e9
         self.on_recovered: Callable[[], None] = lambda: None
@@ -166,7 +166,7 @@
                 topic, records, at=at, fence=fence, timeout=timeout
             ),
             _Offset,
-            repeatable=fence is not None,
+            is_repeatable=fence is not None,
         )
         return result.offset if isinstance(result, _Offset) else result
 
@@ -179,7 +179,7 @@
             timeout,
             lambda: self.direct.read(topic, start, wait=wait, timeout=timeout),
             _Records,
-            repeatable=True,
+            is_repeatable=True,
         )
         if isinstance(result, _Records):
             return ReadResult(result.start, result.records, result.end)
@@ -194,7 +194,7 @@
             timeout,
             lambda: self.direct.newest(topic, after, timeout=timeout),
             _Page,
-            repeatable=True,
+            is_repeatable=True,
         )
         if isinstance(result, _Page):
             return NewestPage(result.items, result.more, result.end)
@@ -211,7 +211,7 @@
         direct: Callable[[], Awaitable[T]],
         result_type: type[A],
         *,
-        repeatable: bool,
+        is_repeatable: bool,
     ) -> T | A:
         relay_peers = self._relay_peers()
         unknown_outcome: SiskinroadError | None = None
@@ -222,10 +222,10 @@
                 if not relay_peers:
                     raise
             except StoreUnknownError as exc:
-                if not relay_peers or not repeatable:
+                if not relay_peers or not is_repeatable:
                     raise
                 unknown_outcome = exc
-        elif repeatable:
+        elif is_repeatable:
             self._probe_direct(direct)
         return await self._call_through_peer(
             call, timeout, result_type, relay_peers, unknown_outcome
@@ -284,12 +284,12 @@
         relay_peers: list[str],
         unknown_outcome: SiskinroadError | None,
     ) -> A:
-        self._relay_turn += 1
+        self._relay_index += 1
         self.relayed_calls += 1
-        relay_peer = relay_peers[self._relay_turn % len(relay_peers)]
+        relay_peer = relay_peers[self._relay_index % len(relay_peers)]
         data = _ENCODE(call)
         log.info(
-            "relay: sending store call through a peer",
+            "relay: direct store calls fail; sending the call through a peer",
             extra={"peer": relay_peer, "call": type(call).__name__.strip("_").lower()},
         )
         try:
--- a/siskinroad/work/store_memory.py
+++ b/siskinroad/work/store_memory.py
@@ -30,7 +30,7 @@
     ----------
     is_unavailable : bool
         Every call fails without effect, with ``StoreUnavailableError``.
-    no_replies : bool
+    is_silent : bool
         Every call goes unanswered and has no effect, and ends with
         ``StoreUnknownError``.
     call_delay_s : float
@@ -46,7 +46,7 @@
     """
 
     is_unavailable: bool = False
-    no_replies: bool = False
+    is_silent: bool = False
     call_delay_s: float = 0.0
     lost_replies: int = 0
     late_append_delay: float = 0.0
@@ -75,14 +75,14 @@
     ----------
     changed : asyncio.Event
         Set at the next append to any topic, then replaced by a new event.
-    page : int
+    page_size : int
         Largest number of keys in one page of the newest records.
     """
 
     faults: StoreFaults = field(default_factory=StoreFaults)
     topics: dict[str, _Topic] = field(default_factory=dict)
     changed: asyncio.Event = field(default_factory=asyncio.Event)
-    page: int = 500
+    page_size: int = 500
 
     def topic(self, name: str) -> _Topic:
         """Return a topic; create it on first use."""
@@ -202,7 +202,7 @@
         await self._simulate_delay(timeout)
         log = self.logs.topic(topic)
         keys = sorted(key for key in log.newest if key > after)
-        page_keys = keys[: self.logs.page]
+        page_keys = keys[: self.logs.page_size]
         items = tuple(log.newest[key] for key in page_keys)
         return NewestPage(items, len(page_keys) < len(keys), log.end)
 
@@ -214,6 +214,6 @@
         if self.logs.faults.is_unavailable or self.client in self.logs.faults.cut:
             await asyncio.sleep(timeout)
             raise StoreUnavailableError("unreachable", step="store")
-        if self.logs.faults.no_replies:
+        if self.logs.faults.is_silent:
             await asyncio.sleep(timeout)
             raise StoreUnknownError("no reply within the timeout", step="store")
--- a/siskinroad/work/term.py
+++ b/siskinroad/work/term.py
@@ -9,7 +9,7 @@
 
 from siskinroad.work.advisor_channels import AdvisorChannels
 from siskinroad.work.effects import Effect
-from siskinroad.work.hosts import HostLink
+from siskinroad.work.hosts import HostClient
 from siskinroad.work.model import Timing
 from siskinroad.work.pool_state import PoolState
 from siskinroad.work.store import Store
@@ -41,7 +41,7 @@
     node: str
     incarnation: int
     store: Store
-    link: HostLink
+    host_client: HostClient
     advisor_channels: AdvisorChannels
     timing: Timing
     metrics: WorkMetrics
@@ -56,7 +56,7 @@
     ----------
     owned_until : float
         Loop time until which the owner may act without a further confirmation.
-    plan_wanted, store_wanted : asyncio.Event
+    plan_requested, flush_requested : asyncio.Event
         Set when a task may be placed, and when records are to be stored.
     execute_effects : callable
         Executes effects that the pool state returns.
@@ -72,8 +72,8 @@
         self.dependencies = dependencies
         self.pool_state = PoolState(pool, number)
         self.owned_until = -1e9
-        self.plan_wanted = asyncio.Event()
-        self.store_wanted = asyncio.Event()
+        self.plan_requested = asyncio.Event()
+        self.flush_requested = asyncio.Event()
         self.execute_effects: Callable[[list[Effect]], None] = lambda effects: None
         self.on_ownership_uncertain: Callable[[], None] = lambda: None
         self.group: asyncio.TaskGroup | None = None
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -18,8 +18,8 @@
 
 REASON_BY_REJECTION = {
     Rejection.FENCED: "fence",
-    Rejection.OLD: "old",
-    Rejection.LATE: "late",
+    Rejection.STALE_RUN: "old",
+    Rejection.EXPIRED_LEASE: "late",
     Rejection.NO_CAPACITY: "room",
     Rejection.TICKET: "ticket",
 }
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -165,12 +165,12 @@
         await cell.start_daemons("a", "b", "c")
         await cell.submit("a", JOB_ID, job(step(6, estimate=9.0)))
         await asyncio.sleep(0.5)
-        cell.logs.faults.no_replies = True
+        cell.logs.faults.is_silent = True
         leaving = cell.daemons.pop(cell.owner())
         drain = asyncio.create_task(leaving.drain(3.5))
         await asyncio.sleep(3.0)
         assert leaving.owners
-        cell.logs.faults.no_replies = False
+        cell.logs.faults.is_silent = False
         await asyncio.sleep(2.0)
         assert cell.owner() is not None
         await drain
@@ -184,7 +184,7 @@
 def test_drain_releases_pools_in_time_during_endless_outage():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
-        cell.logs.faults.no_replies = True
+        cell.logs.faults.is_silent = True
         leaving = cell.daemons.pop(cell.owner())
         began = asyncio.get_running_loop().time()
         await leaving.drain(3.5)
@@ -278,7 +278,7 @@
         await asyncio.sleep(0.5)
         first = cell.hosts.starts()[0]
         cut = cell.hosts.hosts[first.host]
-        cut.silent = True
+        cut.is_silent = True
         cell.unlist(first.host)
         second = (await cell.wait_for_starts(2))[1]
         assert second.host != first.host
@@ -381,7 +381,7 @@
     async def scenario(cell):
         loop = asyncio.get_running_loop()
         await cell.start_daemons("a", "b")
-        cell.logs.faults.no_replies = True
+        cell.logs.faults.is_silent = True
         first = asyncio.create_task(cell.submit("b", JOB_ID, job()))
         await asyncio.sleep(0.5)
         began = loop.time()
@@ -390,7 +390,7 @@
         assert loop.time() - began < 1.0
         assert (await first).kind == "unknown"
         await asyncio.sleep(2.0)
-        cell.logs.faults.no_replies = False
+        cell.logs.faults.is_silent = False
         back = loop.time()
         while (await cell.submit("b", "00000000000000bb", job())).kind != "ok":
             await asyncio.sleep(0.25)
