--- a/siskinroad/work/hosts.py
+++ b/siskinroad/work/hosts.py
@@ -40,7 +40,7 @@
     """Why a host rejected a command.
 
     ``FENCED``: it has seen a higher fencing token. ``STALE_RUN``: it has stopped or
-    ended this run or a later one. ``EXPIRED_LEASE``: the lease in the command has
+    ended this run or a later one. ``LEASE_EXPIRED``: the lease in the command has
     expired.
     ``NO_CAPACITY``: it lacks free capacity. ``TICKET``: the ticket is missing or has
     expired. ``OTHER_INCARNATION``: another incarnation of the host replied at the
@@ -50,7 +50,7 @@
 
     FENCED = "fenced"
     STALE_RUN = "old"
-    EXPIRED_LEASE = "late"
+    LEASE_EXPIRED = "late"
     NO_CAPACITY = "room"
     TICKET = "ticket"
     OTHER_INCARNATION = "other_life"
--- a/siskinroad/work/hosts_memory.py
+++ b/siskinroad/work/hosts_memory.py
@@ -127,7 +127,7 @@
             return Rejection.FENCED
         self.token = command.token
         if command.lease_until <= self.clock():
-            return Rejection.EXPIRED_LEASE
+            return Rejection.LEASE_EXPIRED
         known = self.runs.get(command.task)
         if known is not None and known.run == command.run:
             return None
--- a/tests/platform/standin.py
+++ b/tests/platform/standin.py
@@ -19,7 +19,7 @@
 REASON_BY_REJECTION = {
     Rejection.FENCED: "fence",
     Rejection.STALE_RUN: "old",
-    Rejection.EXPIRED_LEASE: "late",
+    Rejection.LEASE_EXPIRED: "late",
     Rejection.NO_CAPACITY: "room",
     Rejection.TICKET: "ticket",
 }
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -103,7 +103,7 @@
         reply = await cell.submit("a", JOB_ID, job(step(20, cpu_milli=32000)))
         assert reply.kind == "ok"
         await asyncio.sleep(0.2)
-        before = len(cell.hosts.starts())
+        starts_before = len(cell.hosts.starts())
         for name in "abc":
             await cell.kill(name)
         for host in cell.hosts.hosts.values():
@@ -112,7 +112,7 @@
         began = asyncio.get_running_loop().time()
         for name in "abc":
             cell.start(name)
-        starts = await cell.wait_for_starts(before + 1)
+        starts = await cell.wait_for_starts(starts_before + 1)
         assert starts[-1].at - began < 1.0
 
     run_scenario(scenario)
@@ -277,13 +277,13 @@
         await cell.submit("a", JOB_ID, job(step(1)))
         await asyncio.sleep(0.5)
         first = cell.hosts.starts()[0]
-        cut = cell.hosts.hosts[first.host]
-        cut.is_silent = True
+        silent_host = cell.hosts.hosts[first.host]
+        silent_host.is_silent = True
         cell.unlist(first.host)
         second = (await cell.wait_for_starts(2))[1]
         assert second.host != first.host
-        cut.advance()
-        assert not cut.runs
+        silent_host.advance()
+        assert not silent_host.runs
 
     run_scenario(scenario)
 
@@ -310,19 +310,19 @@
 
 def test_superseded_owner_starts_no_job_stored_after_the_claim():
     # A slow owner stores a job for a caller after another daemon's claim, which it has
-    # not read yet; only the new owner may start that job.
+    # not read yet; only the successor may start that job.
     async def scenario(cell):
         await cell.start_daemons("a", "b")
-        old = cell.owner()
-        new = next(name for name in cell.daemons if name != old)
-        cell.network.faults.cut |= {(old, new), (new, old)}
-        cell.logs.faults.no_read_replies.add(old)
+        former = cell.owner()
+        successor = next(name for name in cell.daemons if name != former)
+        cell.network.faults.cut |= {(former, successor), (successor, former)}
+        cell.logs.faults.no_read_replies.add(former)
         for _ in range(60):
-            if POOL in cell.daemons[new].owners:
+            if POOL in cell.daemons[successor].owners:
                 break
             await asyncio.sleep(0.05)
-        owner = cell.daemons[old].owners[POOL]
-        await cell.submit(old, JOB_ID, job())
+        owner = cell.daemons[former].owners[POOL]
+        await cell.submit(former, JOB_ID, job())
         assert JOB_ID not in owner.pool_state.jobs
         await cell.wait_for_starts(1)
         assert len(cell.hosts.starts()) == 1
@@ -391,11 +391,11 @@
         assert (await first).kind == "unknown"
         await asyncio.sleep(2.0)
         cell.logs.faults.is_silent = False
-        back = loop.time()
+        recovered_at = loop.time()
         while (await cell.submit("b", "00000000000000bb", job())).kind != "ok":
             await asyncio.sleep(0.25)
         starts = await cell.wait_for_starts(1)
-        assert starts[0].at - back < 1.5
+        assert starts[0].at - recovered_at < 1.5
 
     run_scenario(scenario)
 
@@ -511,7 +511,7 @@
     run_scenario(scenario)
 
 
-def test_a_draining_host_gets_no_new_work():
+def test_draining_host_gets_no_new_work():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
         for name in ("i-0", "i-1"):
@@ -524,7 +524,7 @@
     run_scenario(scenario)
 
 
-def test_a_gang_starts_together_or_not_at_all():
+def test_gang_starts_together_or_not_at_all():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
         big = step(1, cpu_milli=30000)
--- a/tests/work/test_hard_cases.py
+++ b/tests/work/test_hard_cases.py
@@ -61,21 +61,21 @@
 
 
 def test_failing_host_is_distinguished_from_failing_job():
-    bad = "00000000000000ff"
+    failing_job = "00000000000000ff"
 
     async def scenario(cell):
         await cell.start_daemons("a", "b")
         cell.hosts.hosts["i-0"].end_kind = EndKind.FAILED
         for host in cell.hosts.hosts.values():
-            host.failing_jobs.add(bad)
+            host.failing_jobs.add(failing_job)
             host.task_duration_s = 0.3
-        good = make_job_ids(12, 1)
-        await cell.submit("a", bad, job(step(2)))
-        for name in good:
+        good_jobs = make_job_ids(12, 1)
+        await cell.submit("a", failing_job, job(step(2)))
+        for name in good_jobs:
             await cell.submit("b", name, job(step(2)))
             await asyncio.sleep(0.1)
-        assert await cell.wait_for_state(bad, "failed") < 10
-        for name in good:
+        assert await cell.wait_for_state(failing_job, "failed") < 10
+        for name in good_jobs:
             await cell.wait_for_state(name, "complete")
         owner = cell.daemons[cell.owner()]
         (pool_state,) = [pool.pool_state for pool in owner.owners.values()]
@@ -109,14 +109,14 @@
         await cell.start_daemons("a", "b")
         await cell.submit("a", JOB_ID, job(step(2, long_running=True)))
         starts = await cell.wait_for_starts(2)
-        leaving = starts[0].host
-        here = [s for s in starts if s.host == leaving]
-        cell.drain(leaving)
+        draining_host = starts[0].host
+        starts_to_move = [s for s in starts if s.host == draining_host]
+        cell.drain(draining_host)
         began = asyncio.get_running_loop().time()
-        await cell.wait_for_starts(2 + len(here))
+        await cell.wait_for_starts(2 + len(starts_to_move))
         assert asyncio.get_running_loop().time() - began < 4.0
-        again = cell.hosts.starts()[2:]
-        assert {s.host for s in again}.isdisjoint({leaving})
+        later_starts = cell.hosts.starts()[2:]
+        assert {s.host for s in later_starts}.isdisjoint({draining_host})
         assert await cell.state("a", JOB_ID) == "active"
 
     run_scenario(scenario)
@@ -127,23 +127,25 @@
     # killed.
     async def scenario(cell):
         await cell.start_daemons("a", "b", "c")
-        names = make_job_ids(40, 2)
+        job_ids = make_job_ids(40, 2)
         large = job(step(1, cpu_milli=30000))
-        await asyncio.gather(*(cell.submit("a", name, large) for name in names))
+        await asyncio.gather(*(cell.submit("a", name, large) for name in job_ids))
         await asyncio.sleep(0.2)
         await cell.kill(cell.owner())
         job_service = next(iter(cell.daemons.values())).job_service
         replies = await asyncio.gather(
-            *(job_service.cancel(ADVISED, name, cell.deadline(5.0)) for name in names)
+            *(job_service.cancel(ADVISED, name, cell.deadline(5.0)) for name in job_ids)
         )
         assert {reply.kind for reply in replies} == {"ok"}
-        acknowledged = asyncio.get_running_loop().time()
+        cancelled_at = asyncio.get_running_loop().time()
         await asyncio.sleep(5.0)
-        assert not [s for s in cell.hosts.starts() if s.at > acknowledged]
-        began = {s.task.job for s in cell.hosts.starts()}
-        for name in names:
+        assert not [s for s in cell.hosts.starts() if s.at > cancelled_at]
+        started_jobs = {s.task.job for s in cell.hosts.starts()}
+        for name in job_ids:
             shown = await cell.state(next(iter(cell.daemons)), name)
-            assert shown == "cancelled" or (name in began and shown == "complete")
+            assert shown == "cancelled" or (
+                name in started_jobs and shown == "complete"
+            )
         assert not any(host.runs for host in cell.hosts.hosts.values())
 
     run_scenario(scenario)
