--- a/siskinroad/peers.py
+++ b/siskinroad/peers.py
@@ -119,8 +119,8 @@
         self.faults = NetworkFaults()
         self.nodes: dict[str, MemoryPeers] = {}
         self.paused: dict[str, list[tuple[str, bytes]]] = {}
-        # Daemons whose hosts are without power: nothing tells of their end.
-        self.dark: set[str] = set()
+        # Daemons whose hosts have lost power: no peer is notified of their end.
+        self.powered_off: set[str] = set()
 
     def join(self, name: str, codec: Codec = CELL_CODEC) -> MemoryPeers:
         """Return the link of one daemon, to which the others connect at once."""
@@ -160,7 +160,7 @@
     def ended(self, name: str) -> None:
         """Tell the other daemons that the connections of one have ended."""
         for node in self.nodes.values():
-            apart = (name, node.name) in self.faults.cut or name in self.dark
+            apart = (name, node.name) in self.faults.cut or name in self.powered_off
             if node.disconnected is not None and not apart:
                 self._tell(node, node.disconnected, name)
 
@@ -199,7 +199,7 @@
         cut = self.network.faults.cut
         node = self.network.nodes.get(name)
         apart = (self.name, name) in cut or (name, self.name) in cut
-        if node is None or apart or name in self.network.dark:
+        if node is None or apart or name in self.network.powered_off:
             return Reach.SILENT
         return Reach.REFUSES if node.closed else Reach.LISTENS
 
--- a/siskinroad/peers_zmq.py
+++ b/siskinroad/peers_zmq.py
@@ -157,11 +157,11 @@
         if callback is not None:
             callback(name)
 
-    def learn(self, peer: Peer) -> None:
-        """Take in a peer, its new address, or its new life.
+    def add_peer(self, peer: Peer) -> None:
+        """Register a peer, its new address or its new incarnation.
 
-        A connection that is broken is made anew at once: the library's own pause
-        between two attempts has grown while the peer was away.
+        A broken connection is opened again at once: the library's own pause between
+        two attempts has grown while the peer was unreachable.
         """
         known = self._known.get(peer.name)
         self._known[peer.name] = peer
--- a/siskinroad/work/hosts_memory.py
+++ b/siskinroad/work/hosts_memory.py
@@ -128,8 +128,8 @@
         self.token = command.token
         if command.lease_until <= self.clock():
             return Rejection.LEASE_EXPIRED
-        known = self.runs.get(command.task)
-        if known is not None and known.run == command.run:
+        current_run = self.runs.get(command.task)
+        if current_run is not None and current_run.run == command.run:
             return None
         if command.run <= self.last_run.get(command.task, 0):
             return Rejection.STALE_RUN
@@ -235,27 +235,32 @@
         wait: float,
     ) -> HostReport | Rejection:
         """Renew the lease and return the host's report; see the base class."""
-        found = await self._find_host(host)
-        if found is None:
+        memory_host = await self._find_host(host)
+        if memory_host is None:
             return Rejection.OTHER_INCARNATION
-        if token < found.token:
+        if token < memory_host.token:
             return Rejection.FENCED
-        found.token = token
-        found.advance()
-        found.ends = [end for end in found.ends if end.number > acknowledged]
+        memory_host.token = token
+        memory_host.advance()
+        memory_host.ends = [
+            end for end in memory_host.ends if end.number > acknowledged
+        ]
         if lease_until is not None:
-            found.lease_until = max(found.lease_until, lease_until)
+            memory_host.lease_until = max(memory_host.lease_until, lease_until)
         deadline = asyncio.get_running_loop().time() + wait
-        while not found.ends and asyncio.get_running_loop().time() < deadline:
+        while not memory_host.ends and asyncio.get_running_loop().time() < deadline:
             await asyncio.sleep(0.02)
-            found.advance()
+            memory_host.advance()
         now = asyncio.get_running_loop().time()
         running = tuple(
             RunStatus(r.task, r.run, "", r.progress_percent(now), 0)
-            for r in found.runs.values()
+            for r in memory_host.runs.values()
         )
         return HostReport(
-            found.clock(), found.incarnation_ms, running, tuple(found.ends)
+            memory_host.clock(),
+            memory_host.incarnation_ms,
+            running,
+            tuple(memory_host.ends),
         )
 
 
--- a/tests/platform/test_processes.py
+++ b/tests/platform/test_processes.py
@@ -12,7 +12,7 @@
 
 from siskinroad.errors import SiskinroadError
 from siskinroad.http_client import HttpPool
-from tests.platform.standin import FakePlatform
+from tests.platform.fake_platform import FakePlatform
 
 pytestmark = pytest.mark.processes
 
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -17,7 +17,7 @@
 from siskinroad.work.hosts import EndKind
 from siskinroad.work.model import Advice, TaskId
 from siskinroad.work.store import Record
-from tests.platform.standin import CONFIG, server_entry
+from tests.platform.fake_platform import CONFIG, server_entry
 
 JOB = {
     "spec": "text",
--- a/tests/test_peers_zmq.py
+++ b/tests/test_peers_zmq.py
@@ -116,7 +116,7 @@
             await asyncio.sleep(0.01)
         old = a._dealers["b"]
         b, got_b = link("b", two, ())
-        a.learn(peer)
+        a.add_peer(peer)
         a.send("b", ForwardAck("x"))
         assert a._dealers["b"] is not old
         assert await until(got_b, a, "b")
--- a/tests/work/cell.py
+++ b/tests/work/cell.py
@@ -100,7 +100,7 @@
 
     def start(self, name):
         self.incarnations += 1
-        self.network.dark.discard(name)
+        self.network.powered_off.discard(name)
         peers = self.network.join(name, CODEC)
         platform_clients = PlatformClients(
             MemoryStore(self.logs, name), self.hosts, self.advisor, PlainDecoder()
@@ -122,9 +122,9 @@
             self.start(name)
         await asyncio.sleep(3.0)
 
-    async def kill(self, name, power_loss=False):
-        if power_loss:
-            self.network.dark.add(name)
+    async def kill(self, name, loses_power=False):
+        if loses_power:
+            self.network.powered_off.add(name)
         await self.daemons.pop(name).close()
 
     def owner(self):
--- a/tests/work/test_batcher.py
+++ b/tests/work/test_batcher.py
@@ -13,7 +13,7 @@
 
 
 class FaultyStore(Store):
-    """A store with slow appends that loses some answers, or all while ``silent``.
+    """A store with slow appends that loses some answers, or all while ``is_silent``.
 
     Each answer takes ``delay`` seconds. The partition processes one append at a time
     for ``busy`` seconds each, including those whose client has stopped waiting, and
@@ -24,7 +24,7 @@
         self.delay = delay
         self.busy = busy
         self.busy_until = 0.0
-        self.silent = False
+        self.is_silent = False
         self.lose_every = 0
         self.last_answer_at = -1e9
         self.stored = set()
@@ -32,16 +32,16 @@
 
     async def append(self, topic, records, *, at=None, fence=None, timeout=1.0):
         self.appends += 1
-        lost = self.lose_every and self.appends % self.lose_every == 0
+        is_lost = self.lose_every and self.appends % self.lose_every == 0
         now = asyncio.get_running_loop().time()
         queued = max(0.0, self.busy_until - now)
-        if not self.silent:
+        if not self.is_silent:
             if queued > 2.0:
                 raise StoreUnavailableError("busy", step="append")
             self.busy_until = now + queued + self.busy
             self.stored.update(record.key for record in records)
         delay = queued + self.busy + self.delay
-        if self.silent or lost or delay > timeout:
+        if self.is_silent or is_lost or delay > timeout:
             await asyncio.sleep(timeout)
             raise StoreUnknownError("no answer", step="append")
         await asyncio.sleep(delay)
@@ -89,15 +89,17 @@
         store = FaultyStore()
         batcher = make_batcher(store)
         await submit(batcher, "first")
-        store.silent = True
-        found = await submit_stream(batcher, 60)
-        outcomes = [outcome for outcome, _ in found]
+        store.is_silent = True
+        results = await submit_stream(batcher, 60)
+        outcomes = [outcome for outcome, _ in results]
         assert outcomes.count("unknown") == 1
         assert outcomes.count("refused") == 59
-        assert max(took for outcome, took in found if outcome == "refused") <= 1.05
+        assert (
+            max(took_s for outcome, took_s in results if outcome == "refused") <= 1.05
+        )
         assert not store.stored - {"first"}
         # Once an append has been stuck for a second, callers are refused at once.
-        assert max(took for _, took in found[25:50]) < 0.01
+        assert max(took_s for _, took_s in results[25:50]) < 0.01
 
     run(scenario())
 
@@ -106,9 +108,9 @@
     async def scenario():
         store = FaultyStore()
         batcher = make_batcher(store)
-        store.silent = True
+        store.is_silent = True
         await submit_stream(batcher, 30)
-        store.silent = False
+        store.is_silent = False
         assert (await submit(batcher, "early"))[0] == "refused"
         store.last_answer_at = asyncio.get_running_loop().time()
         assert (await submit(batcher, "late"))[0] == "stored"
@@ -121,16 +123,16 @@
     # daemons append to the same partition.
     async def scenario():
         store = FaultyStore()
-        daemons = [make_batcher(store) for _ in range(2)]
-        await asyncio.gather(*[submit_stream(d, 5) for d in daemons])
+        batchers = [make_batcher(store) for _ in range(2)]
+        await asyncio.gather(*[submit_stream(b, 5) for b in batchers])
         store.delay, store.busy = 0.4, 0.2
         store.appends = 0
-        found = await asyncio.gather(
-            *[submit_stream(d, 100, start=10) for d in daemons]
+        results = await asyncio.gather(
+            *[submit_stream(b, 100, start=10) for b in batchers]
         )
-        for outcomes in found:
+        for outcomes in results:
             assert {outcome for outcome, _ in outcomes} == {"stored"}
-            assert max(took for _, took in outcomes) < 2.0
+            assert max(took_s for _, took_s in outcomes) < 2.0
         # No append is repeated: each takes at least 0.6 s.
         assert store.appends <= 2 * (5.5 / 0.6 + 1)
 
@@ -150,10 +152,10 @@
         store = FaultyStore()
         store.lose_every = 3
         others = asyncio.create_task(answer_other_calls(store))
-        found = await submit_stream(make_batcher(store), 60)
+        results = await submit_stream(make_batcher(store), 60)
         others.cancel()
-        assert {outcome for outcome, _ in found} == {"stored"}
-        assert max(took for _, took in found) < 2.1
+        assert {outcome for outcome, _ in results} == {"stored"}
+        assert max(took_s for _, took_s in results) < 2.1
 
     run(scenario())
 
@@ -162,11 +164,13 @@
     async def scenario():
         store = FaultyStore()
         batcher = make_batcher(store)
-        store.silent = True
+        store.is_silent = True
         others = asyncio.create_task(answer_other_calls(store))
-        found = await submit_stream(batcher, 40)
+        results = await submit_stream(batcher, 40)
         others.cancel()
-        assert max(took for outcome, took in found if outcome == "refused") <= 2.05
-        assert [outcome for outcome, _ in found].count("unknown") <= 2
+        assert (
+            max(took_s for outcome, took_s in results if outcome == "refused") <= 2.05
+        )
+        assert [outcome for outcome, _ in results].count("unknown") <= 2
 
     run(scenario())
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -86,7 +86,7 @@
 def test_takeover_after_power_loss_starts_new_work_within_two_and_a_half_seconds():
     async def scenario(cell):
         await cell.start_daemons("a", "b", "c")
-        await cell.kill(cell.owner(), power_loss=True)
+        await cell.kill(cell.owner(), loses_power=True)
         began = asyncio.get_running_loop().time()
         await cell.submit(next(iter(cell.daemons)), JOB_ID, job())
         starts = await cell.wait_for_starts(1)
--- a/tests/work/test_hard_cases.py
+++ b/tests/work/test_hard_cases.py
@@ -25,7 +25,7 @@
             host.late_start_delay = late_start_delay
         await cell.submit("a", JOB_ID, job(step(6)))
         await asyncio.sleep(0.05)
-        await cell.kill(cell.owner(), power_loss=True)
+        await cell.kill(cell.owner(), loses_power=True)
         await cell.wait_for_state(JOB_ID, "complete")
         await asyncio.sleep(6)
         for host in cell.hosts.hosts.values():
