--- a/siskinroad/work/advice_requester.py
+++ b/siskinroad/work/advice_requester.py
@@ -59,11 +59,11 @@
         """Return whether the allowed hosts are known; request advice if not."""
         if step.is_advice_pending:
             return bool(step.tickets)
-        unknown = [h for h in planning_pass.hosts if h.name not in step.queried_hosts]
+        unknown = [h for h in planning_pass.hosts if h.name not in step.requested_hosts]
         eligible = [h.name for h in unknown if host_can_fit(h, step)]
         if not eligible:
             return bool(step.tickets)
-        if step.queried_hosts and any(
+        if step.requested_hosts and any(
             h.name in step.tickets for h in planning_pass.hosts
         ):
             return True
@@ -167,7 +167,7 @@
         self, planning_pass: PlanningPass, step: StepRun, queue: Queue, advice: Advice
     ) -> None:
         """Request advice for a step if all steps that it waits for are about to end."""
-        if step.is_advice_pending or step.queried_hosts:
+        if step.is_advice_pending or step.requested_hosts:
             return
         predecessors = [step.job.steps[step.occurrence, i] for i in step.spec.after]
         eligible = [h.name for h in planning_pass.hosts if host_can_fit(h, step)][
--- a/siskinroad/work/host_commands.py
+++ b/siskinroad/work/host_commands.py
@@ -240,7 +240,7 @@
             await asyncio.sleep(ADVICE_RETRY_INTERVAL)
         else:
             valid_until = loop.time() + result.valid
-            step.queried_hosts.update(effect.hosts)
+            step.requested_hosts.update(effect.hosts)
             for host, ticket in result.tickets.items():
                 step.tickets[host] = (ticket, valid_until)
         step.is_advice_pending = False
--- a/siskinroad/work/job.py
+++ b/siskinroad/work/job.py
@@ -88,7 +88,7 @@
     ----------
     runs_by_host : dict of str to int
         Number of the step's runs that occupy capacity on each host.
-    queried_hosts : set of str
+    requested_hosts : set of str
         Hosts for which advice was requested.
     tickets : dict of str to tuple
         Ticket of each allowed host, and the loop time until which it is valid.
@@ -104,7 +104,7 @@
     spec: Step
     tasks: list[Task]
     runs_by_host: dict[str, int] = field(default_factory=dict)
-    queried_hosts: set[str] = field(default_factory=set)
+    requested_hosts: set[str] = field(default_factory=set)
     tickets: dict[str, tuple[str, float]] = field(default_factory=dict)
     is_advice_pending: bool = False
     ready_at: float = 0.0
--- a/siskinroad/work/lease_renewer.py
+++ b/siskinroad/work/lease_renewer.py
@@ -130,7 +130,7 @@
 
     async def _wait_until_stored(self, host: Host) -> None:
         """Wait briefly until the ends that a host has listed are stored."""
-        self.term.flush_requested.set()
+        self.term.store_requested.set()
         deadline = asyncio.get_running_loop().time() + END_STORED_TIMEOUT
         while host.last_end_seen > host.last_end_stored:
             remaining_s = deadline - asyncio.get_running_loop().time()
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -265,7 +265,7 @@
                     )
             case Cancelled(job=job):
                 self._execute_effects(self.pool_state.cancel(job, now, wall))
-                self.term.flush_requested.set()
+                self.term.store_requested.set()
 
     # Planning
 
@@ -295,7 +295,7 @@
             effects += self.run_monitor.check_runs(now, wall)
             self._execute_effects(effects)
             if self.progress.has_unstored_changes:
-                self.term.flush_requested.set()
+                self.term.store_requested.set()
             self.term.plan_requested.set()
 
     def _execute_effects(self, effects: list[Effect]) -> None:
@@ -312,7 +312,7 @@
                 case RequestAdvice():
                     self.term.spawn(self.host_commands.request_advice(effect))
         if self.pool_state.dirty:
-            self.term.flush_requested.set()
+            self.term.store_requested.set()
 
     # Requests from callers
 
@@ -356,7 +356,7 @@
         now, wall = asyncio.get_running_loop().time(), self.dependencies.wall()
         stored_event = self.progress.get_stored_event(job_id)
         self._execute_effects(self.pool_state.cancel(job_id, now, wall))
-        self.term.flush_requested.set()
+        self.term.store_requested.set()
         try:
             async with asyncio.timeout(timeout):
                 await stored_event.wait()
--- a/siskinroad/work/progress.py
+++ b/siskinroad/work/progress.py
@@ -72,7 +72,7 @@
 
     def get_stored_event(self, job_id: str) -> asyncio.Event:
         """Return an event that is set once the job's outcome is stored."""
-        self.term.flush_requested.set()
+        self.term.store_requested.set()
         return self._stored_events.setdefault(job_id, asyncio.Event())
 
     async def run(self) -> None:
@@ -84,8 +84,8 @@
             A later term has fenced this one.
         """
         while True:
-            await self.term.flush_requested.wait()
-            self.term.flush_requested.clear()
+            await self.term.store_requested.wait()
+            self.term.store_requested.clear()
             try:
                 await self.flush()
             except (StoreUnavailableError, StoreUnknownError) as exc:
@@ -93,7 +93,7 @@
                     "progress: append failed; retrying",
                     extra={"pool": self.term.pool, "error": str(exc)},
                 )
-                self.term.flush_requested.set()
+                self.term.store_requested.set()
                 await asyncio.sleep(FLUSH_RETRY_INTERVAL)
                 continue
             except FencedError as exc:
@@ -131,7 +131,7 @@
         self._batch = None
         self._mark_stored(batch)
         if self.term.pool_state.dirty:
-            self.term.flush_requested.set()
+            self.term.store_requested.set()
 
     def _make_batch(self) -> _Batch:
         changed = list(self.term.pool_state.dirty)[:MAX_RECORDS_PER_APPEND]
--- a/siskinroad/work/term.py
+++ b/siskinroad/work/term.py
@@ -73,7 +73,7 @@
         self.pool_state = PoolState(pool, number)
         self.owned_until = -1e9
         self.plan_requested = asyncio.Event()
-        self.flush_requested = asyncio.Event()
+        self.store_requested = asyncio.Event()
         self.execute_effects: Callable[[list[Effect]], None] = lambda effects: None
         self.on_ownership_uncertain: Callable[[], None] = lambda: None
         self.group: asyncio.TaskGroup | None = None
--- a/tests/work/test_planner.py
+++ b/tests/work/test_planner.py
@@ -43,7 +43,7 @@
 def allow(accepted_job, *hosts, until=100.0, step_=0):
     """Give a step of a job a ticket for each of the hosts."""
     step_run = accepted_job.steps[0, step_]
-    step_run.queried_hosts.update(hosts)
+    step_run.requested_hosts.update(hosts)
     for host in hosts:
         step_run.tickets[host] = (f"t-{host}", until)
 
