--- a/siskinroad/work/host_commands.py
+++ b/siskinroad/work/host_commands.py
@@ -65,7 +65,7 @@
         loop = asyncio.get_running_loop()
         async with self._get_semaphore(host.name):
             now = loop.time()
-            if not self.term.pool_state.may_send(host, effect.run):
+            if not self.term.pool_state.may_send_start(host, effect.run):
                 self.term.execute_effects(
                     self.term.pool_state.drop_start(host, effect.run, now)
                 )
@@ -133,7 +133,7 @@
                 "run": command.run,
                 "host": host.name,
                 "token": command.token,
-                "list_age_s": round(sent_at - host.clock_at, 2),
+                "list_age_s": round(sent_at - host.clock_read_at, 2),
                 "took_s": round(loop.time() - sent_at, 3),
                 "outcome": outcome,
             },
@@ -239,7 +239,7 @@
             self.term.dependencies.metrics.retries.labels("advice").inc()
             await asyncio.sleep(ADVICE_RETRY_INTERVAL)
         else:
-            valid_until = loop.time() + result.valid
+            valid_until = loop.time() + result.valid_s
             step.requested_hosts.update(effect.hosts)
             for host, ticket in result.tickets.items():
                 step.tickets[host] = (ticket, valid_until)
--- a/siskinroad/work/lease_renewer.py
+++ b/siskinroad/work/lease_renewer.py
@@ -56,7 +56,9 @@
                 await asyncio.sleep(RENEWAL_RETRY_INTERVAL)
                 continue
             wait = (
-                _renewal_wait_s(host) if host.settled and not host.is_failing else 0.0
+                _renewal_wait_s(host)
+                if host.is_settled and not host.is_failing
+                else 0.0
             )
             if host.last_end_seen > host.last_end_stored:
                 wait = 0.0
@@ -130,7 +132,7 @@
 
     async def _wait_until_stored(self, host: Host) -> None:
         """Wait briefly until the ends that a host has listed are stored."""
-        self.term.store_requested.set()
+        self.term.flush_requested.set()
         deadline = asyncio.get_running_loop().time() + END_STORED_TIMEOUT
         while host.last_end_seen > host.last_end_stored:
             remaining_s = deadline - asyncio.get_running_loop().time()
--- a/siskinroad/work/owner.py
+++ b/siskinroad/work/owner.py
@@ -80,7 +80,7 @@
         self.lease_renewer = LeaseRenewer(self.term, self.progress)
         self._rechecked_at = -1e9
         self.former = inherited.former
-        self._is_former_sole_owner = inherited.is_former_sole_owner
+        self._are_earlier_owners_reconciled = inherited.are_earlier_owners_reconciled
         self._is_former_released = inherited.released_term >= inherited.former_term
         self._load_inherited(inherited)
         self.follower = Follower(
@@ -95,11 +95,13 @@
         now, wall = loop.time(), self.dependencies.wall()
         pool_state = self.pool_state
         if inherited.former is None:
-            pool_state.settled = True
+            pool_state.is_settled = True
         else:
-            pool_state.settled = False
+            pool_state.is_settled = False
             names = inherited.hosts.names if inherited.hosts else ()
-            pool_state.expect_hosts(names, now + OWNERSHIP_TIMEOUT_S + LEASE_S * 1.1)
+            pool_state.set_former_owner_hosts(
+                names, now + OWNERSHIP_TIMEOUT_S + LEASE_S * 1.1
+            )
             self._check_former_owner(now)
         for accepted in inherited.accepted.values():
             pool_state.accept(accepted, now, wall, is_new=False)
@@ -122,7 +124,7 @@
     def _check_former_owner(self, now: float) -> None:
         """Shorten the wait for silent hosts once the former owner has stopped."""
         former = self.former
-        if former is None or not self._is_former_sole_owner:
+        if former is None or not self._are_earlier_owners_reconciled:
             return
         has_restarted = self.dependencies.has_later_incarnation(
             former.node, former.incarnation
@@ -265,7 +267,7 @@
                     )
             case Cancelled(job=job):
                 self._execute_effects(self.pool_state.cancel(job, now, wall))
-                self.term.store_requested.set()
+                self.term.flush_requested.set()
 
     # Planning
 
@@ -295,7 +297,7 @@
             effects += self.run_monitor.check_runs(now, wall)
             self._execute_effects(effects)
             if self.progress.has_unstored_changes:
-                self.term.store_requested.set()
+                self.term.flush_requested.set()
             self.term.plan_requested.set()
 
     def _execute_effects(self, effects: list[Effect]) -> None:
@@ -312,7 +314,7 @@
                 case RequestAdvice():
                     self.term.spawn(self.host_commands.request_advice(effect))
         if self.pool_state.dirty:
-            self.term.store_requested.set()
+            self.term.flush_requested.set()
 
     # Requests from callers
 
@@ -356,7 +358,7 @@
         now, wall = asyncio.get_running_loop().time(), self.dependencies.wall()
         stored_event = self.progress.get_stored_event(job_id)
         self._execute_effects(self.pool_state.cancel(job_id, now, wall))
-        self.term.store_requested.set()
+        self.term.flush_requested.set()
         try:
             async with asyncio.timeout(timeout):
                 await stored_event.wait()
