--- a/siskinroad/work/term.py
+++ b/siskinroad/work/term.py
@@ -56,7 +56,7 @@
     ----------
     owned_until : float
         Loop time until which the owner may act without a further confirmation.
-    plan_requested, store_requested : asyncio.Event
+    plan_requested, flush_requested : asyncio.Event
         Set when a task may be placed, and when records are to be stored.
     execute_effects : callable
         Executes effects that the pool state returns.
