--- a/siskinroad/shares.py
+++ b/siskinroad/shares.py
@@ -1,4 +1,4 @@
-"""Whose turn it is: weighted dominant-resource fairness over time."""
+"""Weighted dominant-resource fairness between owners, averaged over time."""
 
 from __future__ import annotations
 
@@ -9,8 +9,12 @@
 
 __all__ = ["Shares"]
 
+# Seconds of future use that count towards an owner's rank at its present allocation.
+# With a smaller value, one owner could start many tasks before its rank rises.
 LOOK_AHEAD = 20.0
-MEMORY = 600.0
+# Time constant of the decay of past use, in seconds. With a smaller value, an owner
+# that has used much capacity ranks with the others again too soon.
+DECAY_TIME = 600.0
 
 
 @dataclass(slots=True)
@@ -23,12 +27,12 @@
 
 
 class Shares:
-    """What each owner holds and has been served.
+    """Allocations and past use of each owner.
 
-    An owner's rank is the dominant share that it was served, decayed over
-    ``MEMORY`` seconds, plus what it will have been served ``LOOK_AHEAD`` seconds
-    from now if it keeps what it holds, over its weight. The lowest rank goes
-    first.
+    An owner's rank is its dominant share integrated over time and decayed over
+    ``DECAY_TIME`` seconds, plus what its present allocation adds in the next
+    ``LOOK_AHEAD`` seconds, divided by the owner's weight. The owner with the lowest
+    rank goes first.
     """
 
     def __init__(self) -> None:
@@ -36,7 +40,7 @@
         self.total = NOTHING
 
     def set_owners(self, owners: dict[str, Owner]) -> None:
-        """Put a configuration's owners in force."""
+        """Apply the owners of a configuration."""
         for name, owner in owners.items():
             if name in self._accounts:
                 self._accounts[name].owner = owner
@@ -44,48 +48,48 @@
                 self._accounts[name] = _Account(owner)
 
     def set_total(self, total: Resources, now: float) -> None:
-        """Set the capacity that shares are taken of."""
+        """Set the total capacity of which shares are computed."""
         for account in self._accounts.values():
-            self._settle(account, now)
+            self._accrue(account, now)
         self.total = total
         for account in self._accounts.values():
             account.share = account.held.dominant(total)
 
     def change(self, name: str, held: Resources, sign: int, now: float) -> None:
-        """Note that an owner holds more (1) or less (-1)."""
+        """Add resources to an owner's allocation (sign 1) or subtract them (-1)."""
         account = self._account(name)
-        self._settle(account, now)
+        self._accrue(account, now)
         account.held = account.held + held if sign > 0 else account.held - held
         account.share = account.held.dominant(self.total)
 
     def held(self, name: str) -> Resources:
-        """Return what an owner holds."""
+        """Return the resources allocated to an owner."""
         return self._account(name).held
 
     def rank(self, name: str, now: float) -> float:
-        """Return an owner's place in the order; the lowest is next."""
+        """Return an owner's rank; the lowest goes first."""
         account = self._account(name)
-        self._settle(account, now)
+        self._accrue(account, now)
         return (account.served + account.share * LOOK_AHEAD) / account.owner.weight
 
     def within_quota(self, name: str, need: Resources) -> bool:
-        """Return whether an owner may hold ``need`` more."""
+        """Return whether an owner's quota allows another ``need``."""
         account = self._account(name)
         quota = account.owner.quota
         held = account.held
         return (
-            _within(held.cpu_milli + need.cpu_milli, quota.cpu_milli)
-            and _within(held.memory_mib + need.memory_mib, quota.memory_mib)
-            and _within(held.accelerators + need.accelerators, quota.accelerators)
+            _is_within(held.cpu_milli + need.cpu_milli, quota.cpu_milli)
+            and _is_within(held.memory_mib + need.memory_mib, quota.memory_mib)
+            and _is_within(held.accelerators + need.accelerators, quota.accelerators)
         )
 
-    def fair_part(self, name: str, backlogged: set[str]) -> float:
-        """Return an owner's part of the total among the owners that have work."""
+    def fair_share(self, name: str, backlogged: set[str]) -> float:
+        """Return the fraction of the total due to an owner among those with work."""
         weights = {x: self._account(x).owner.weight for x in backlogged | {name}}
         return weights[name] / sum(weights.values())
 
     def share(self, name: str) -> float:
-        """Return the dominant share that an owner holds."""
+        """Return the dominant share of an owner's allocation."""
         return self._account(name).share
 
     def _account(self, name: str) -> _Account:
@@ -95,14 +99,14 @@
             self._accounts[name] = account
         return account
 
-    def _settle(self, account: _Account, now: float) -> None:
+    def _accrue(self, account: _Account, now: float) -> None:
         passed = now - account.since
         if passed <= 0:
             return
-        keep = max(0.0, 1.0 - passed / MEMORY)
-        account.served = account.served * keep + account.share * passed
+        retained = max(0.0, 1.0 - passed / DECAY_TIME)
+        account.served = account.served * retained + account.share * passed
         account.since = now
 
 
-def _within(value: int, quota: int) -> bool:
+def _is_within(value: int, quota: int) -> bool:
     return quota == 0 or value <= quota
