--- a/bench/processes.py
+++ b/bench/processes.py
@@ -30,7 +30,7 @@
 from siskinroad.httpd import HttpServer
 from siskinroad.load import percentile
 from siskinroad.platform_memory import MemoryLog
-from siskinroad.stand_ins import PlatformServer, WorkerServer
+from siskinroad.stand_in_servers import PlatformServer, WorkerServer
 from siskinroad.tables import table
 from siskinroad.upstreams_memory import MemoryWorker
 
--- a/bench/world.py
+++ b/bench/world.py
@@ -9,10 +9,10 @@
 
 from siskinroad.cell import Cell, parse_cell
 from siskinroad.entry import Daemon
-from siskinroad.front import Request
 from siskinroad.peers import MemoryNetwork
 from siskinroad.platform import CELL_STREAM
 from siskinroad.platform_memory import MemoryLog, MemoryPlatform
+from siskinroad.request_handler import Request
 from siskinroad.settings import Peer, Settings
 from siskinroad.upstreams import Answer
 from siskinroad.upstreams_memory import MemoryUpstreams, MemoryWorker
--- a/siskinroad/__main__.py
+++ b/siskinroad/__main__.py
@@ -2,7 +2,7 @@
 
 import sys
 
-from siskinroad.slim import slim_imports
+from siskinroad.import_stubs import stub_unused_imports
 
 __all__ = ["main"]
 
@@ -13,7 +13,7 @@
     A daemon first imports its libraries without unused modules, which saves memory.
     """
     if sys.argv[1:2] == ["entry"]:
-        slim_imports()
+        stub_unused_imports()
     from siskinroad.cli import main as run
 
     return run()
--- a/siskinroad/callers.py
+++ b/siskinroad/callers.py
@@ -8,9 +8,9 @@
 
 from siskinroad.cell import Workload
 from siskinroad.errors import Outcome, Reason, Refusal
-from siskinroad.front import Request
 from siskinroad.httpd import HttpRequest, HttpResponse
 from siskinroad.replies import json_response, refusal_response
+from siskinroad.request_handler import Request
 
 if TYPE_CHECKING:
     from siskinroad.entry import Daemon
--- a/siskinroad/cluster.py
+++ b/siskinroad/cluster.py
@@ -11,7 +11,7 @@
 from siskinroad.listeners import Node
 from siskinroad.platform_memory import MemoryLog
 from siskinroad.settings import Peer, Settings
-from siskinroad.stand_ins import PlatformServer, WorkerServer
+from siskinroad.stand_in_servers import PlatformServer, WorkerServer
 from siskinroad.upstreams_memory import MemoryWorker
 
 __all__ = ["Cluster", "free_addresses"]
--- a/siskinroad/daemonview.py
+++ b/siskinroad/daemon_context.py
@@ -7,8 +7,8 @@
 from siskinroad.appender import Appender
 from siskinroad.configuration import Configuration
 from siskinroad.ledger import Ledger
-from siskinroad.loads import LoadTable
-from siskinroad.logfeed import LogFeed
+from siskinroad.load_reports import LoadTable
+from siskinroad.log_reader import LogFeed
 from siskinroad.membership import Membership
 from siskinroad.ownership import Ownership
 from siskinroad.peers import Peers
--- a/siskinroad/entry.py
+++ b/siskinroad/entry.py
@@ -9,19 +9,18 @@
 from typing import Any
 
 from siskinroad.appender import Appender
-from siskinroad.beats import Beats
 from siskinroad.cell import Cell
 from siskinroad.charts import load_chart
 from siskinroad.configuration import Configuration
 from siskinroad.errors import ConfigError, Reason, Refusal
 from siskinroad.forwarding import Forwarder, Receiver
-from siskinroad.front import Front, Request
+from siskinroad.heartbeats import Beats
+from siskinroad.idempotency import KeyGuard
 from siskinroad.jobs import JobDesk
-from siskinroad.keys import KeyGuard
 from siskinroad.ledger import Ledger
 from siskinroad.limits import ByteLimit
-from siskinroad.loads import LoadTable
-from siskinroad.logfeed import LogFeed, Stream
+from siskinroad.load_reports import LoadTable
+from siskinroad.log_reader import LogFeed, Stream
 from siskinroad.membership import Membership
 from siskinroad.messages import (
     Digest,
@@ -47,6 +46,7 @@
 from siskinroad.platform import CELL_STREAM, Platform, dc_stream
 from siskinroad.publisher import Publisher
 from siskinroad.records import Record
+from siskinroad.request_handler import Front, Request
 from siskinroad.routing import Place, ShardLoad
 from siskinroad.settings import Settings
 from siskinroad.shards import ShardSet
--- a/siskinroad/beats.py
+++ b/siskinroad/heartbeats.py
@@ -9,7 +9,7 @@
 import asyncio
 import logging
 
-from siskinroad.daemonview import DaemonView
+from siskinroad.daemon_context import DaemonView
 from siskinroad.errors import PlatformError
 from siskinroad.membership import HEARTBEAT_TIME
 from siskinroad.messages import (
@@ -44,7 +44,7 @@
 # If an incarnation used more, receivers would drop the first digests of the next one.
 STAMPS_PER_INCARNATION = 1 << 20
 
-log = logging.getLogger("siskinroad.beats")
+log = logging.getLogger("siskinroad.heartbeats")
 
 
 class Beats:
@@ -131,7 +131,7 @@
         is_new = daemon.members.hear(msg, now)
         if is_new:
             log.info(
-                "beats: peer %s started, incarnation %d", msg.name, msg.incarnation
+                "heartbeats: peer %s started, incarnation %d", msg.name, msg.incarnation
             )
             self._forward_digests(msg.name, now)
         is_behind = msg.revision > daemon.configuration.revision
--- a/siskinroad/hostwatch.py
+++ b/siskinroad/host_monitor.py
@@ -10,7 +10,7 @@
 from siskinroad.effects import ControlTask, End
 from siskinroad.errors import NotSentError, OutcomeUnknownError, StaleEpochError
 from siskinroad.names import AttemptName, attempt_name, parse_attempt, split_task
-from siskinroad.ownerview import OwnerView
+from siskinroad.owner_context import OwnerView
 from siskinroad.placement import HostView
 from siskinroad.resources import Resources
 from siskinroad.upstreams import Control, Inventory, TaskReport, TaskState, Usage
--- a/siskinroad/slim.py
+++ b/siskinroad/import_stubs.py
@@ -3,7 +3,7 @@
 ``asyncio`` imports TLS, ``hashlib`` imports OpenSSL, and ``prometheus_client`` imports
 a web server for its own listener. The daemon speaks no TLS, hashes with the
 interpreter's built-in code, and serves ``/metrics`` from its own listener. Call
-``slim_imports`` before anything else is imported.
+``stub_unused_imports`` before anything else is imported.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 import sys
 import types
 
-__all__ = ["slim_imports"]
+__all__ = ["stub_unused_imports"]
 
 # Modules whose import fails while asyncio and hashlib are imported; both work without.
 BLOCKED_MODULES = ("ssl", "_ssl", "_hashlib")
@@ -34,7 +34,7 @@
         return type(name, (), {})
 
 
-def slim_imports() -> None:
+def stub_unused_imports() -> None:
     """Import asyncio, hashlib and prometheus_client without their unused dependencies.
 
     Do nothing if asyncio or prometheus_client has already been imported.
--- a/siskinroad/jobs.py
+++ b/siskinroad/jobs.py
@@ -17,10 +17,10 @@
 
 from siskinroad.cell import Cell, Workload
 from siskinroad.errors import Outcome, PlatformError, Reason, Refusal
-from siskinroad.front import home_data_centre_of
 from siskinroad.ledger import JobState, Ledger
 from siskinroad.messages import JobReply, JobRequest, Message
 from siskinroad.records import JobAccepted, JobCancelled, Record
+from siskinroad.request_handler import home_data_centre_of
 from siskinroad.routing import Place, ShardLoad, choose
 from siskinroad.shards import ShardSet
 
--- a/siskinroad/owner.py
+++ b/siskinroad/owner.py
@@ -10,9 +10,9 @@
 from siskinroad.cell import Cell, Host
 from siskinroad.effects import ControlTask, Effect, Finished, Refused, StartTask
 from siskinroad.errors import NotSentError, OutcomeUnknownError, StaleEpochError
-from siskinroad.hostwatch import HostWatch, watch_host
+from siskinroad.host_monitor import HostWatch, watch_host
 from siskinroad.names import attempt_name
-from siskinroad.ownerview import OwnerPorts
+from siskinroad.owner_context import OwnerPorts
 from siskinroad.requests import Requests
 from siskinroad.resources import Resources
 from siskinroad.scheduler import TICK_TIME, Scheduler
--- a/siskinroad/publisher.py
+++ b/siskinroad/publisher.py
@@ -14,7 +14,7 @@
 from siskinroad.cell import digest, parse_cell
 from siskinroad.configuration import Configuration
 from siskinroad.errors import ConflictError, PlatformError
-from siskinroad.loads import LoadTable
+from siskinroad.load_reports import LoadTable
 from siskinroad.membership import Membership
 from siskinroad.records import Record
 
--- a/siskinroad/requests.py
+++ b/siskinroad/requests.py
@@ -15,7 +15,7 @@
     Refusal,
     StaleEpochError,
 )
-from siskinroad.hostwatch import WatchedOwner
+from siskinroad.host_monitor import WatchedOwner
 from siskinroad.queues import Item
 from siskinroad.upstreams import Answer
 
--- a/siskinroad/scheduler.py
+++ b/siskinroad/scheduler.py
@@ -18,7 +18,7 @@
 from siskinroad.health import Verdict
 from siskinroad.names import AttemptName, split_task
 from siskinroad.placement import HostView
-from siskinroad.pressure import Pressure, UsageReport
+from siskinroad.preemption import Pressure, UsageReport
 from siskinroad.queues import Item, Lane
 from siskinroad.shard import Shard, milliseconds
 from siskinroad.upstreams import Control, Usage
--- a/siskinroad/shards.py
+++ b/siskinroad/shards.py
@@ -11,12 +11,12 @@
 from siskinroad.appender import Appender
 from siskinroad.cell import Cell, Host, Workload
 from siskinroad.errors import Reason, Refusal
-from siskinroad.front import Request
-from siskinroad.keys import KeyGuard
+from siskinroad.idempotency import KeyGuard
 from siskinroad.ledger import Ledger
 from siskinroad.messages import ShardNews
 from siskinroad.metrics import Metrics
 from siskinroad.owner import ShardOwner
+from siskinroad.owner_context import OwnerPorts
 from siskinroad.ownership import (
     Append,
     DropShard,
@@ -27,7 +27,6 @@
     SuspendShard,
     TakeShard,
 )
-from siskinroad.ownerview import OwnerPorts
 from siskinroad.platform import HostState
 from siskinroad.records import (
     ClaimReleased,
@@ -36,6 +35,7 @@
     Record,
     TasksEnded,
 )
+from siskinroad.request_handler import Request
 from siskinroad.routing import Place, ShardLoad
 from siskinroad.upstreams import Answer, Upstreams
 
--- a/siskinroad/snapshotter.py
+++ b/siskinroad/snapshotter.py
@@ -10,7 +10,7 @@
 import logging
 
 from siskinroad.appender import Appender
-from siskinroad.daemonview import DaemonView
+from siskinroad.daemon_context import DaemonView
 from siskinroad.errors import PlatformError
 from siskinroad.snapshots import split
 
--- a/siskinroad/status.py
+++ b/siskinroad/status.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from siskinroad.accounts import Accounts, OwnerSpan
-from siskinroad.daemonview import DaemonView
+from siskinroad.daemon_context import DaemonView
 from siskinroad.dispatch import blocked_reason
 from siskinroad.owner import ShardOwner
 from siskinroad.queues import Item
--- a/siskinroad/tasks.py
+++ b/siskinroad/tasks.py
@@ -11,7 +11,7 @@
 
 from siskinroad.effects import End, StartTask
 from siskinroad.errors import NotSentError, OutcomeUnknownError, StaleEpochError
-from siskinroad.hostwatch import TASK_LEASE, HostWatch, WatchedOwner
+from siskinroad.host_monitor import TASK_LEASE, HostWatch, WatchedOwner
 from siskinroad.ledger import JobState
 from siskinroad.names import AttemptName, attempt_name, job_of, task_name
 from siskinroad.queues import Item
--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -10,7 +10,7 @@
 from siskinroad.errors import SiskinroadError
 from siskinroad.peers import Peers, Reach
 from siskinroad.resources import Resources
-from siskinroad.suspend import SuspendWatch
+from siskinroad.suspend_detector import SuspendWatch
 from siskinroad.work.calls import Calls
 from siskinroad.work.claims import Claims
 from siskinroad.work.desk import Desk
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -11,12 +11,12 @@
 import pytest
 
 from bench.faults import FAULTS, run_session
-from siskinroad import hostwatch
+from siskinroad import host_monitor
 from siskinroad.configuration import Configuration
 from siskinroad.entry import Daemon
 from siskinroad.errors import Outcome, Refusal
 from siskinroad.forwarding import Forwarder
-from siskinroad.keys import KeyGuard
+from siskinroad.idempotency import KeyGuard
 from siskinroad.placement import HostIndex
 from siskinroad.shards import ShardSet
 
@@ -75,7 +75,7 @@
 
 def test_checks_detect_a_task_on_two_hosts(monkeypatch):
     """The leases of a host count as expired at once, so that its tasks start again."""
-    monkeypatch.setattr(hostwatch, "TASK_LEASE", -1.0)
+    monkeypatch.setattr(host_monitor, "TASK_LEASE", -1.0)
     assert " ran on " in _find_violations(["host_mute"], range(12))
 
 
--- a/tests/test_slim.py
+++ b/tests/test_import_stubs.py
@@ -5,8 +5,8 @@
 
 CODE = """
 import sys
-from siskinroad.slim import slim_imports
-slim_imports()
+from siskinroad.import_stubs import stub_unused_imports
+stub_unused_imports()
 import siskinroad.listeners
 import hashlib
 from siskinroad.metrics import Metrics
@@ -20,7 +20,7 @@
 """
 
 
-def test_daemon_modules_and_metrics_work_after_slim_imports():
+def test_daemon_modules_and_metrics_work_after_stub_unused_imports():
     done = subprocess.run(
         [sys.executable, "-c", CODE], capture_output=True, text=True, check=False
     )
--- a/tests/test_logfeed.py
+++ b/tests/test_log_reader.py
@@ -4,7 +4,7 @@
 import random
 
 from bench.clock import run
-from siskinroad.logfeed import LogFeed, Stream
+from siskinroad.log_reader import LogFeed, Stream
 from siskinroad.membership import Membership
 from siskinroad.messages import LogFetch, LogRecords
 from siskinroad.platform import LogPage
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -16,7 +16,7 @@
 from siskinroad.errors import SiskinroadError
 from siskinroad.http_client import HttpPool
 from siskinroad.platform_memory import MemoryLog
-from siskinroad.stand_ins import PlatformServer, WorkerServer
+from siskinroad.stand_in_servers import PlatformServer, WorkerServer
 from siskinroad.upstreams_memory import MemoryWorker
 
 pytestmark = pytest.mark.processes
