--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -388,7 +388,7 @@
         "cpu = 32\nmemory_gib = 128", _host_tables(hosts, 5), owners, work
     )
     policy = Scheduler(cell, random.Random(SEED), 0.0)
-    policy.shard.door.limit = 1_000_000
+    policy.shard.admission_limit.limit = 1_000_000
     for host in cell.hosts():
         policy.add_host(host, 0.0)
         policy.host_event(host.name, "inventory", 0.0)
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -8,7 +8,7 @@
 from typing import Any, TypeVar
 
 from bench.clock import run
-from bench.invariants import CallerRequest, Seen, check
+from bench.invariants import CallerRequest, Observations, check
 from bench.world import World, small_cell
 from siskinroad.entry import Daemon
 from siskinroad.errors import ConflictError, PlatformError, Refusal, SiskinroadError
@@ -48,7 +48,7 @@
         self.rng = random.Random(seed)
         self.faults = faults
         self.world = World(small_cell(fencing=fencing), list(NAMES), seed)
-        self.seen = Seen()
+        self.observations = Observations()
         self.request_count = 0
         self.latest_revision = 0
         self.pending_calls: dict[str, set[asyncio.Task[None]]] = {}
@@ -67,7 +67,7 @@
                 group.create_task(self._inject_fault(name))
         await self._recover()
         watcher.cancel()
-        return check(self.seen, self.world.workers) + self._find_stale_daemons()
+        return check(self.observations, self.world.workers) + self._find_stale_daemons()
 
     async def _inject_fault(self, name: str) -> None:
         await asyncio.sleep(self.rng.uniform(1.0, 8.0))
@@ -105,20 +105,20 @@
         self.request_count += 1
         service = self.rng.choice(["quote", "quote", "dispatch"])
         body = f"{service}-{self.request_count}".encode()
-        asked = CallerRequest(body, service, service == "quote", self.now())
+        request = CallerRequest(body, service, service == "quote", self.now())
         key = body.decode() if service == "dispatch" else ""
         try:
             answer = await self.world.ask(name, service, body, key)
         except Refusal as exc:
-            asked.reason, asked.outcome = exc.reason.value, exc.outcome.value
+            request.reason, request.outcome = exc.reason.value, exc.outcome.value
         except asyncio.CancelledError:
-            asked.reason, asked.outcome = "connection_lost", "outcome unknown"
+            request.reason, request.outcome = "connection_lost", "outcome unknown"
         else:
-            asked.answer, asked.status = answer.body, answer.status
-        asked.answered_at = self.now()
-        self.seen.asked.append(asked)
-        if key and self.rng.random() < 0.3 and asked.status != 200:
-            asked.repeated = True
+            request.answer, request.status = answer.body, answer.status
+        request.answered_at = self.now()
+        self.observations.requests.append(request)
+        if key and self.rng.random() < 0.3 and request.status != 200:
+            request.repeated = True
             await self._repeat_request(service, body, key)
 
     async def _repeat_request(self, service: str, body: bytes, key: str) -> None:
@@ -150,14 +150,14 @@
             return ""
         if view is None:
             return ""
-        self.seen.accepted[view.job] = count
+        self.observations.accepted[view.job] = count
         return view.job
 
     async def _record_revisions(self) -> None:
         while True:
             for name, daemon in self.world.daemons.items():
                 revision = daemon.configuration.revision
-                self.seen.revisions.append(
+                self.observations.revisions.append(
                     (self.now(), name, daemon.incarnation, revision)
                 )
             await asyncio.sleep(0.5)
@@ -182,20 +182,23 @@
                 world.start(name)
         self.healed_at = self.now()
         until = self.now() + RECOVERY_TIME
-        while self.now() < until and set(self.seen.accepted) - self.seen.settled:
+        while (
+            self.now() < until
+            and set(self.observations.accepted) - self.observations.settled
+        ):
             await asyncio.sleep(1.0)
             await self._record_settled_jobs()
         await asyncio.sleep(max(0.0, self.healed_at + 10.0 - self.now()))
 
     async def _record_settled_jobs(self) -> None:
-        for job in set(self.seen.accepted) - self.seen.settled:
+        for job in set(self.observations.accepted) - self.observations.settled:
             centre = job.rpartition(".")[0]
             for daemon in self.world.daemons.values():
                 if daemon.cfg.data_centre != centre:
                     continue
                 state = daemon.ledger.jobs.get(job)
                 if state is not None and state.settled:
-                    self.seen.settled.add(job)
+                    self.observations.settled.add(job)
 
     def _find_stale_daemons(self) -> list[str]:
         """Return a message for each daemon without the latest revision.
@@ -422,7 +425,7 @@
     except Refusal:
         return
     if view is not None:
-        session.seen.cancelled[job] = session.now()
+        session.observations.cancelled[job] = session.now()
 
 
 async def operators_race(session: Session) -> None:
@@ -460,14 +463,14 @@
     since = session.now()
     await asyncio.sleep(8.0)
     session.world.log.set_listed(centre, worker.name, HostState.LIVE)
-    session.seen.leaving_periods.append((worker.name, since, session.now()))
+    session.observations.leaving_periods.append((worker.name, since, session.now()))
 
 
 async def rolling_replacement(session: Session) -> None:
     """Drain and restart each daemon in turn; does nothing beside other faults."""
     if session.faults != ["rolling_replacement"]:
         return
-    session.seen.must_answer = True
+    session.observations.must_answer = True
     for name in NAMES:
         daemon = session.world.daemons[name]
         del session.world.daemons[name]
--- a/bench/golden.py
+++ b/bench/golden.py
@@ -12,9 +12,9 @@
 
 from bench.clock import run
 from bench.world import World
-from siskinroad.callers import Callers
+from siskinroad.callers import CallerApi
 from siskinroad.httpd import serve_connection
-from siskinroad.operators import Operators
+from siskinroad.operators import OperatorApi
 
 ROOT = Path(__file__).parent.parent
 GOLDEN = ROOT / "tests" / "golden"
@@ -65,7 +65,7 @@
         """Send one request over an in-memory connection and record the exchange."""
         daemon = self.world.daemons[name or self.default_daemon]
         operator = not target.startswith(("/v1/services", "/v1/jobs"))
-        handler = (Operators if operator else Callers)(daemon).handle
+        handler = (OperatorApi if operator else CallerApi)(daemon).handle
         fields = {"host": "test", "content-length": str(len(body)), **headers}
         head = f"{method} {target} HTTP/1.1\r\n"
         head += "".join(f"{k.replace('_', '-')}: {v}\r\n" for k, v in fields.items())
--- a/bench/invariants.py
+++ b/bench/invariants.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from siskinroad.resources import Resources
-from siskinroad.upstreams_memory import Event, MemoryWorker
+from siskinroad.upstreams_memory import HostEvent, MemoryHost
 
 # Seconds after the host list shows a host as leaving in which it may still get tasks.
 LEAVING_TIME = 3.0
@@ -29,12 +29,12 @@
 
 
 @dataclass
-class Seen:
+class Observations:
     """Observations from outside the daemons; times in seconds of loop time.
 
     Attributes
     ----------
-    asked : list of CallerRequest
+    requests : list of CallerRequest
         Answered and refused requests.
     revisions : list of tuple
         Time, daemon, incarnation and revision, as an operator reads them.
@@ -50,7 +50,7 @@
         Every request must be answered, as in a rolling replacement.
     """
 
-    asked: list[CallerRequest] = field(default_factory=list)
+    requests: list[CallerRequest] = field(default_factory=list)
     revisions: list[tuple[float, str, int, int]] = field(default_factory=list)
     accepted: dict[str, int] = field(default_factory=dict)
     cancelled: dict[str, float] = field(default_factory=dict)
@@ -59,28 +59,28 @@
     must_answer: bool = False
 
 
-def check(seen: Seen, workers: dict[str, MemoryWorker]) -> list[str]:
+def check(observations: Observations, workers: dict[str, MemoryHost]) -> list[str]:
     """Return a message for each violation of an invariant."""
     violations: list[str] = []
     events = sorted((e for w in workers.values() for e in w.events), key=_event_number)
     violations += _check_host_capacity(events, workers)
     violations += _check_single_placement(events)
-    violations += _check_answers(seen)
-    violations += _check_refused_not_run(seen, events)
-    violations += _check_at_most_once(seen, events)
-    violations += _check_leaving_hosts(seen, events)
-    violations += _check_revisions(seen)
-    violations += _check_accepted_jobs(seen)
-    violations += _check_cancelled_jobs(seen, events)
+    violations += _check_answers(observations)
+    violations += _check_refused_not_run(observations, events)
+    violations += _check_at_most_once(observations, events)
+    violations += _check_leaving_hosts(observations, events)
+    violations += _check_revisions(observations)
+    violations += _check_accepted_jobs(observations)
+    violations += _check_cancelled_jobs(observations, events)
     return violations
 
 
-def _event_number(event: Event) -> int:
+def _event_number(event: HostEvent) -> int:
     return event.number
 
 
 def _check_host_capacity(
-    events: list[Event], workers: dict[str, MemoryWorker]
+    events: list[HostEvent], workers: dict[str, MemoryHost]
 ) -> list[str]:
     used: dict[str, Resources] = defaultdict(Resources)
     violations = []
@@ -98,7 +98,7 @@
     return violations
 
 
-def _check_single_placement(events: list[Event]) -> list[str]:
+def _check_single_placement(events: list[HostEvent]) -> list[str]:
     running: dict[str, str] = {}
     violations = []
     for event in events:
@@ -118,24 +118,26 @@
     return violations
 
 
-def _check_answers(seen: Seen) -> list[str]:
+def _check_answers(observations: Observations) -> list[str]:
     violations = []
-    for asked in seen.asked:
-        if asked.status == 200 and asked.answer != asked.body:
-            violations.append(f"request {asked.body!r} got the answer {asked.answer!r}")
-        if asked.status == 0 and not asked.reason:
+    for request in observations.requests:
+        if request.status == 200 and request.answer != request.body:
             violations.append(
-                f"request {asked.body!r} got neither an answer nor a refusal"
+                f"request {request.body!r} got the answer {request.answer!r}"
             )
-        if seen.must_answer and asked.status != 200:
+        if request.status == 0 and not request.reason:
             violations.append(
-                f"request {asked.body!r} failed although all must be answered: "
-                f"{asked.reason} {asked.outcome}"
+                f"request {request.body!r} got neither an answer nor a refusal"
+            )
+        if observations.must_answer and request.status != 200:
+            violations.append(
+                f"request {request.body!r} failed although all must be answered: "
+                f"{request.reason} {request.outcome}"
             )
     return violations
 
 
-def _count_starts(events: list[Event]) -> dict[bytes, int]:
+def _count_starts(events: list[HostEvent]) -> dict[bytes, int]:
     starts: dict[bytes, int] = defaultdict(int)
     for event in events:
         if event.body and event.kind == "start":
@@ -143,27 +145,33 @@
     return starts
 
 
-def _check_refused_not_run(seen: Seen, events: list[Event]) -> list[str]:
+def _check_refused_not_run(
+    observations: Observations, events: list[HostEvent]
+) -> list[str]:
     first: dict[bytes, float] = {}
     for event in events:
         if event.body and event.kind == "start":
             first.setdefault(event.body, event.time)
     violations = []
-    for asked in seen.asked:
-        started_at = first.get(asked.body)
-        if asked.outcome != "not run" or started_at is None:
+    for request in observations.requests:
+        started_at = first.get(request.body)
+        if request.outcome != "not run" or started_at is None:
             continue
-        if started_at <= asked.answered_at or not asked.repeated:
+        if started_at <= request.answered_at or not request.repeated:
             violations.append(
-                f"request {asked.body!r} was refused as not run "
-                f"({asked.reason}) but ran"
+                f"request {request.body!r} was refused as not run "
+                f"({request.reason}) but ran"
             )
     return violations
 
 
-def _check_at_most_once(seen: Seen, events: list[Event]) -> list[str]:
+def _check_at_most_once(
+    observations: Observations, events: list[HostEvent]
+) -> list[str]:
     starts = _count_starts(events)
-    non_idempotent = {asked.body for asked in seen.asked if not asked.idempotent}
+    non_idempotent = {
+        request.body for request in observations.requests if not request.idempotent
+    }
     return [
         f"request {body!r} ran {starts[body]} times, at most 1 is allowed"
         for body in non_idempotent
@@ -171,9 +179,11 @@
     ]
 
 
-def _check_leaving_hosts(seen: Seen, events: list[Event]) -> list[str]:
+def _check_leaving_hosts(
+    observations: Observations, events: list[HostEvent]
+) -> list[str]:
     violations = []
-    for host, since, until in seen.leaving_periods:
+    for host, since, until in observations.leaving_periods:
         for event in events:
             is_late = since + LEAVING_TIME < event.time < until
             if event.host == host and event.kind == "start" and is_late:
@@ -184,10 +194,10 @@
     return violations
 
 
-def _check_revisions(seen: Seen) -> list[str]:
+def _check_revisions(observations: Observations) -> list[str]:
     highest: dict[tuple[str, int], int] = {}
     violations = []
-    for time, name, incarnation, revision in seen.revisions:
+    for time, name, incarnation, revision in observations.revisions:
         key = (name, incarnation)
         if revision < highest.get(key, 0):
             violations.append(f"{name} reverted to revision {revision} at {time:.1f} s")
@@ -195,18 +205,20 @@
     return violations
 
 
-def _check_accepted_jobs(seen: Seen) -> list[str]:
-    missing = set(seen.accepted) - seen.settled
+def _check_accepted_jobs(observations: Observations) -> list[str]:
+    missing = set(observations.accepted) - observations.settled
     return [
         f"accepted job {job} did not end before the run did" for job in sorted(missing)
     ]
 
 
-def _check_cancelled_jobs(seen: Seen, events: list[Event]) -> list[str]:
+def _check_cancelled_jobs(
+    observations: Observations, events: list[HostEvent]
+) -> list[str]:
     violations = []
     for event in events:
         job = event.task.partition("/")[0]
-        cancelled_at = seen.cancelled.get(job)
+        cancelled_at = observations.cancelled.get(job)
         if (
             event.kind == "start"
             and not event.body
--- a/bench/model.py
+++ b/bench/model.py
@@ -14,7 +14,7 @@
 from siskinroad.ledger import Ledger
 from siskinroad.membership import Membership
 from siskinroad.messages import Echo, Heartbeat
-from siskinroad.ownership import Append, Ownership, ReleaseShard, TakeShard
+from siskinroad.ownership import Append, Ownership, ReleaseShard, TakeOverShard
 from siskinroad.records import ClaimReleased, Record
 
 NAMES = ("a", "b", "c")
@@ -130,7 +130,7 @@
                     self._append(node, record)
                 case ReleaseShard():
                     self._append(node, ClaimReleased(effect.shard, effect.epoch))
-                case TakeShard():
+                case TakeOverShard():
                     node.own.taken(effect.shard, effect.epoch)
 
     def _append(self, node: Node, record: Record) -> None:
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -29,10 +29,10 @@
 from siskinroad.http_client import HttpPool
 from siskinroad.httpd import HttpServer
 from siskinroad.load import percentile
-from siskinroad.platform_memory import MemoryLog
-from siskinroad.stand_in_servers import PlatformServer, WorkerServer
+from siskinroad.platform_memory import MemoryPlatformState
+from siskinroad.stand_in_servers import HostServer, PlatformServer
 from siskinroad.tables import table
-from siskinroad.upstreams_memory import MemoryWorker
+from siskinroad.upstreams_memory import MemoryHost
 
 ROOT = Path(__file__).parent.parent
 DAEMONS_PER_CENTRE = 7
@@ -75,7 +75,7 @@
         self.text = _make_cell_text(sorted(set(self.centre.values())))
         self.pool = HttpPool()
         self.procs: dict[str, subprocess.Popen] = {}
-        self.log = MemoryLog()
+        self.log = MemoryPlatformState()
 
     async def start_all(self) -> None:
         platform = PlatformServer(self.log)
@@ -83,10 +83,10 @@
         cell = parse_cell(self.text)
         for host in cell.hosts():
             capacity = cell.pools["p"].capacity
-            worker = MemoryWorker(
+            worker = MemoryHost(
                 host.name, capacity, random.Random(1), duration=lambda w, r: 0.0
             )
-            address = await WorkerServer(worker, host).http.listen("127.0.0.1:0")
+            address = await HostServer(worker, host).http.listen("127.0.0.1:0")
             self.text = self.text.replace(f'"{host.address}"', f'"{address}"')
         ports = free_addresses(3 * len(self.names))
         self.ports = {n: ports[3 * i : 3 * i + 3] for i, n in enumerate(self.names)}
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -24,7 +24,7 @@
 from siskinroad.cell import parse_cell
 from siskinroad.deltas import make_delta
 from siskinroad.ledger import Ledger
-from siskinroad.messages import Digest, Echo, Heartbeat, LogTail, ShardNews, encode
+from siskinroad.messages import Digest, Echo, Heartbeat, LogTail, ShardUpdate, encode
 from siskinroad.queues import Item
 from siskinroad.records import (
     CellRevision,
@@ -76,7 +76,7 @@
 def _make_scheduler(hosts: int) -> Scheduler:
     cell = parse_cell(_make_cell_text(hosts))
     scheduler = Scheduler(cell, random.Random(SEED), 0.0)
-    scheduler.shard.door.limit = 10_000_000
+    scheduler.shard.admission_limit.limit = 10_000_000
     for host in cell.hosts():
         scheduler.add_host(host, 0.0)
         scheduler.host_event(host.name, "inventory", 0.0)
@@ -157,7 +157,7 @@
 
 def measure_message_sizes() -> dict[str, int]:
     """Return the encoded size of each kind of message and record, in bytes."""
-    updates = [ShardNews("booking/east-1/0", 123456789, 40, {})]
+    updates = [ShardUpdate("booking/east-1/0", 123456789, 40, {})]
     names = [f"east-1{x}" for x in "abcdefg"]
     stamp = 123456.789
     heartbeat = Heartbeat(
@@ -264,7 +264,7 @@
     """Return the digest bytes sent across regions, without relays inside them."""
     total = 0
     for daemon in world.daemons.values():
-        total += daemon.beats.sent_abroad
+        total += daemon.periodic.sent_abroad
     return total
 
 
--- a/bench/world.py
+++ b/bench/world.py
@@ -11,11 +11,11 @@
 from siskinroad.entry import Daemon
 from siskinroad.peers import MemoryNetwork
 from siskinroad.platform import CELL_STREAM
-from siskinroad.platform_memory import MemoryLog, MemoryPlatform
+from siskinroad.platform_memory import MemoryPlatform, MemoryPlatformState
 from siskinroad.request_handler import Request
 from siskinroad.settings import Peer, Settings
-from siskinroad.upstreams import Answer
-from siskinroad.upstreams_memory import MemoryUpstreams, MemoryWorker
+from siskinroad.upstreams import UpstreamResponse
+from siskinroad.upstreams_memory import MemoryHost, MemoryUpstreamClient
 
 CELL = """
 name = "test"
@@ -107,11 +107,11 @@
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
         self.cell: Cell = parse_cell(self.text)
-        self.log = MemoryLog()
+        self.log = MemoryPlatformState()
         self.network = MemoryNetwork(random.Random(self.seed + 1))
         sequence = itertools.count()
         self.workers = {
-            host.name: MemoryWorker(
+            host.name: MemoryHost(
                 host.name,
                 self.cell.pools[host.pool].capacity,
                 random.Random(f"{self.seed}{host.name}"),
@@ -149,7 +149,7 @@
             self.create_settings(name),
             self.incarnation,
             MemoryPlatform(self.log, name),
-            MemoryUpstreams(self.workers, name, self.cut),
+            MemoryUpstreamClient(self.workers, name, self.cut),
             self.network.join(name),
             random.Random(f"{self.seed}{name}{self.incarnation}"),
         )
@@ -190,14 +190,14 @@
 
     async def ask(
         self, name: str, service: str, body: bytes = b"x", key: str = "", limit=20.0
-    ) -> Answer:
+    ) -> UpstreamResponse:
         """Send a request to a daemon; ``limit`` is its time limit in seconds."""
         daemon = self.daemons[name]
         cell = daemon.cell()
         now = asyncio.get_running_loop().time()
         workload = cell.workloads[service]
         req = Request(workload, f"/{service}", body, key, now + limit)
-        return await daemon.front.serve(req, cell)
+        return await daemon.request_handler.serve(req, cell)
 
     @property
     def events(self):
--- a/siskinroad/callers.py
+++ b/siskinroad/callers.py
@@ -15,7 +15,7 @@
 if TYPE_CHECKING:
     from siskinroad.entry import Daemon
 
-__all__ = ["Callers"]
+__all__ = ["CallerApi"]
 
 KEY_HEADER = "idempotency-key"
 TIMEOUT_HEADER = "siskinroad-timeout"
@@ -26,7 +26,7 @@
 log = logging.getLogger("siskinroad.callers")
 
 
-class Callers:
+class CallerApi:
     """Request handler of the callers' listener.
 
     ``/v1/services/NAME[/PATH]`` sends a request to a service,
@@ -90,7 +90,9 @@
         if not self.daemon.bytes.take(len(req.body), workload.urgency):
             raise Refusal(Reason.SHED, step="callers", retry_after=1.0)
         try:
-            answer = await self.daemon.front.serve(request, self.daemon.cell())
+            answer = await self.daemon.request_handler.serve(
+                request, self.daemon.cell()
+            )
         finally:
             self.daemon.bytes.give_back(len(req.body))
         self.daemon.metrics.answers.labels(name).inc()
--- a/siskinroad/cluster.py
+++ b/siskinroad/cluster.py
@@ -9,10 +9,10 @@
 
 from siskinroad.cell import Cell, Host, parse_cell
 from siskinroad.listeners import Node
-from siskinroad.platform_memory import MemoryLog
+from siskinroad.platform_memory import MemoryPlatformState
 from siskinroad.settings import Peer, Settings
-from siskinroad.stand_in_servers import PlatformServer, WorkerServer
-from siskinroad.upstreams_memory import MemoryWorker
+from siskinroad.stand_in_servers import HostServer, PlatformServer
+from siskinroad.upstreams_memory import MemoryHost
 
 __all__ = ["Cluster", "free_addresses"]
 
@@ -57,10 +57,10 @@
         self.cell: Cell = parse_cell(text)
         self.text = text
         self.seed = seed
-        self.log = MemoryLog()
+        self.log = MemoryPlatformState()
         self.platform = PlatformServer(self.log)
-        self.workers: dict[str, MemoryWorker] = {}
-        self.servers: list[WorkerServer] = []
+        self.workers: dict[str, MemoryHost] = {}
+        self.servers: list[HostServer] = []
         self.nodes: list[Node] = []
         self._duration = duration
         self._daemons_per_data_centre = daemons_per_data_centre
@@ -93,8 +93,8 @@
     async def _start_host(self, host: Host) -> None:
         capacity = self.cell.pools[host.pool].capacity
         rng = random.Random(f"{self.seed}{host.name}")
-        memory_host = MemoryWorker(host.name, capacity, rng, duration=self._duration)
-        server = WorkerServer(memory_host, host)
+        memory_host = MemoryHost(host.name, capacity, rng, duration=self._duration)
+        server = HostServer(memory_host, host)
         address = await server.http.listen("127.0.0.1:0")
         self.text = self.text.replace(f'"{host.address}"', f'"{address}"')
         self.workers[host.name] = memory_host
--- a/siskinroad/configuration.py
+++ b/siskinroad/configuration.py
@@ -10,7 +10,7 @@
 from siskinroad.deltas import apply_delta, make_delta
 from siskinroad.errors import ConfigError, Problem, ProtocolError
 from siskinroad.records import CellRevision, Record, SnapshotPart
-from siskinroad.snapshots import Assembler
+from siskinroad.snapshots import SnapshotAssembler
 
 __all__ = ["Configuration", "RevisionText", "decode_revision"]
 
@@ -57,7 +57,7 @@
         self.key = ""
         self.next_offset = 1
         self.rejected = 0
-        self._assembler = Assembler()
+        self._assembler = SnapshotAssembler()
         self._recent_keys: deque[str] = deque(maxlen=MAX_RECENT_KEYS)
 
     @property
--- a/siskinroad/daemon_context.py
+++ b/siskinroad/daemon_context.py
@@ -8,15 +8,15 @@
 from siskinroad.configuration import Configuration
 from siskinroad.ledger import Ledger
 from siskinroad.load_reports import LoadTable
-from siskinroad.log_reader import LogFeed
+from siskinroad.log_reader import LogReader
 from siskinroad.membership import Membership
 from siskinroad.ownership import Ownership
-from siskinroad.peers import Peers
+from siskinroad.peers import PeerTransport
 from siskinroad.platform import Platform
 from siskinroad.settings import Settings
-from siskinroad.shards import ShardSet
+from siskinroad.shards import OwnedShards
 
-__all__ = ["DaemonView"]
+__all__ = ["DaemonContext"]
 
 
 class SnapshotRequester(Protocol):
@@ -26,24 +26,24 @@
         """Ask a peer to write a snapshot of the ledger."""
 
 
-class DaemonView(Protocol):
+class DaemonContext(Protocol):
     """State of a daemon for its parts; ``state`` is one of the ``daemon`` chart."""
 
     cfg: Settings
     incarnation: int
     state: str
     platform: Platform
-    peers: Peers
+    peers: PeerTransport
     members: Membership
     ledger: Ledger
     configuration: Configuration
     ownership: Ownership
-    feed: LogFeed
+    log_reader: LogReader
     load_table: LoadTable
-    shards: ShardSet
+    shards: OwnedShards
     appender: Appender
     cell_appender: Appender
 
     @property
-    def beats(self) -> SnapshotRequester:
+    def periodic(self) -> SnapshotRequester:
         """Periodic messages of the daemon to its peers."""
--- a/siskinroad/entry.py
+++ b/siskinroad/entry.py
@@ -14,23 +14,23 @@
 from siskinroad.configuration import Configuration
 from siskinroad.errors import ConfigError, Reason, Refusal
 from siskinroad.forwarding import Forwarder, Receiver
-from siskinroad.heartbeats import Beats
-from siskinroad.idempotency import KeyGuard
-from siskinroad.jobs import JobDesk
+from siskinroad.heartbeats import PeriodicMessages
+from siskinroad.idempotency import IdempotencyGuard
+from siskinroad.jobs import JobService
 from siskinroad.ledger import Ledger
 from siskinroad.limits import ByteLimit
 from siskinroad.load_reports import LoadTable
-from siskinroad.log_reader import LogFeed, Stream
+from siskinroad.log_reader import LogReader, Stream
 from siskinroad.membership import Membership
 from siskinroad.messages import (
     Digest,
     Forward,
     ForwardAck,
-    ForwardAsk,
+    ForwardQuery,
     Heartbeat,
+    HostListUpdate,
     JobReply,
     JobRequest,
-    ListNews,
     LogFetch,
     LogRecords,
     LogTail,
@@ -42,17 +42,17 @@
 )
 from siskinroad.metrics import Metrics
 from siskinroad.ownership import Ownership
-from siskinroad.peers import Peers
+from siskinroad.peers import PeerTransport
 from siskinroad.platform import CELL_STREAM, Platform, dc_stream
 from siskinroad.publisher import Publisher
 from siskinroad.records import Record
-from siskinroad.request_handler import Front, Request
+from siskinroad.request_handler import Request, RequestHandler
 from siskinroad.routing import Place, ShardLoad
 from siskinroad.settings import Settings
-from siskinroad.shards import ShardSet
+from siskinroad.shards import OwnedShards
 from siskinroad.snapshotter import Snapshotter
 from siskinroad.status import explain
-from siskinroad.upstreams import Answer, Upstreams
+from siskinroad.upstreams import UpstreamClient, UpstreamResponse
 
 __all__ = ["Daemon"]
 
@@ -80,7 +80,7 @@
         The daemon's settings.
     incarnation : int
         A number that rises with each start of the same daemon.
-    platform, upstreams, peers : Platform, Upstreams, Peers
+    platform, upstreams, peers : Platform, UpstreamClient, PeerTransport
         Clients of the platform, of upstream hosts and of other daemons.
     rng : random.Random
         Seeded source of jitter.
@@ -91,8 +91,8 @@
         cfg: Settings,
         incarnation: int,
         platform: Platform,
-        upstreams: Upstreams,
-        peers: Peers,
+        upstreams: UpstreamClient,
+        peers: PeerTransport,
         rng: random.Random,
     ) -> None:
         self.cfg = cfg
@@ -121,10 +121,10 @@
         self.ownership = Ownership(
             cfg.name, self.incarnation, self.ledger, self.members
         )
-        self.feed = LogFeed(
+        self.log_reader = LogReader(
             cfg.name, self.platform, self.members, send, self._log_confirmed, rng
         )
-        self.feed.follow(
+        self.log_reader.follow(
             Stream(
                 CELL_STREAM,
                 lambda: self.configuration.next_offset,
@@ -132,7 +132,7 @@
                 self._skip_cell,
             )
         )
-        self.feed.follow(
+        self.log_reader.follow(
             Stream(
                 stream,
                 lambda: self.ledger.next_offset,
@@ -141,10 +141,10 @@
             )
         )
         self.appender = Appender(
-            self.platform, stream, cfg.name, rng, lambda _: self.feed.wake()
+            self.platform, stream, cfg.name, rng, lambda _: self.log_reader.wake()
         )
         self.cell_appender = Appender(
-            self.platform, CELL_STREAM, cfg.name, rng, lambda _: self.feed.wake()
+            self.platform, CELL_STREAM, cfg.name, rng, lambda _: self.log_reader.wake()
         )
         self.snapshotter = Snapshotter(self)
 
@@ -152,8 +152,8 @@
         cfg, rng = self.cfg, self.rng
         send = self.peers.send
         put = self.appender.put
-        self.guard = KeyGuard(cfg.name, self.ledger, put, self._ledger_applied)
-        self.shards = ShardSet(
+        self.guard = IdempotencyGuard(cfg.name, self.ledger, put, self._ledger_applied)
+        self.shards = OwnedShards(
             self.place,
             self.ownership,
             self.ledger,
@@ -166,7 +166,7 @@
         self.load_table = LoadTable(self.place, self.members)
         self.forwarder = Forwarder(cfg.name, self.incarnation, send)
         self.receiver = Receiver(self.incarnation, send, self._run_forwarded)
-        self.front = Front(
+        self.request_handler = RequestHandler(
             cfg.name,
             self.place,
             self.loads,
@@ -175,7 +175,7 @@
             self.load_table.incarnation,
             rng,
         )
-        self.jobs = JobDesk(
+        self.jobs = JobService(
             cfg.name,
             self.incarnation,
             self.place,
@@ -196,7 +196,7 @@
             self.cell_appender.put,
             self._cell_applied,
         )
-        self.beats = Beats(self)
+        self.periodic = PeriodicMessages(self)
 
     # Start and stop
 
@@ -205,10 +205,10 @@
         for coro in (
             self.appender.run(),
             self.cell_appender.run(),
-            self.feed.run(),
-            self.beats.run(),
-            self.beats.run_host_list(),
-            self.beats.run_digests(),
+            self.log_reader.run(),
+            self.periodic.run(),
+            self.periodic.run_host_list(),
+            self.periodic.run_digests(),
             self.snapshotter.run(),
             self._run_ownership(),
         ):
@@ -239,14 +239,16 @@
         self.state = load_chart("daemon").next(self.state, "stop")
         self.ownership.draining = True
         self.members.draining = True
-        self.beats.send_heartbeats()
+        self.periodic.send_heartbeats()
         log.info("entry: drain started")
         while loop.time() < deadline:
             holds_shards = any(
-                h.state != "idle" for h in self.ownership.holdings.values()
+                h.state != "idle" for h in self.ownership.shard_claims.values()
             )
             has_work = (
-                self.front.in_progress or self.shards.busy or self.receiver.active
+                self.request_handler.in_progress
+                or self.shards.busy
+                or self.receiver.active
             )
             if not holds_shards and not has_work and not self.shards.owners:
                 break
@@ -288,7 +290,7 @@
 
     def _skip_cell(self, first: int) -> None:
         self.configuration.next_offset = first
-        self.beats.request_revision()
+        self.periodic.request_revision()
 
     def _apply_ledger(self, offset: int, records: list[Record]) -> None:
         was_whole = self.ledger.whole
@@ -355,7 +357,7 @@
             loads[load.shard] = load
         return [*loads.values(), *self.load_table.abroad.values()]
 
-    async def _run_forwarded(self, msg: Forward) -> Answer:
+    async def _run_forwarded(self, msg: Forward) -> UpstreamResponse:
         workload = self.cell().workloads.get(msg.service)
         if workload is None:
             raise Refusal(Reason.UNKNOWN_SERVICE, step="receive")
@@ -369,16 +371,16 @@
         now = asyncio.get_running_loop().time()
         match msg:
             case Heartbeat():
-                self.beats.handle_heartbeat(msg, now)
+                self.periodic.handle_heartbeat(msg, now)
             case LogTail():
-                self.feed.handle_tail(msg, now)
+                self.log_reader.handle_tail(msg, now)
             case LogRecords():
-                self.feed.handle_records(msg)
+                self.log_reader.handle_records(msg)
             case LogFetch():
-                self.feed.handle_fetch(msg)
+                self.log_reader.handle_fetch(msg)
             case Forward():
                 self.receiver.hear(msg)
-            case ForwardAsk():
+            case ForwardQuery():
                 self.receiver.hear_ask(msg)
             case ForwardAck():
                 self.forwarder.hear_ack(msg)
@@ -389,13 +391,13 @@
             case JobReply():
                 self.jobs.hear_reply(msg)
             case Digest():
-                self.beats.handle_digest(msg, now)
-            case ListNews():
-                self.beats.handle_host_list(msg)
+                self.periodic.handle_digest(msg, now)
+            case HostListUpdate():
+                self.periodic.handle_host_list(msg)
             case SnapshotWanted():
                 self.snapshotter.write_on_request()
             case RevisionWanted():
-                self.beats.handle_revision_request(msg)
+                self.periodic.handle_revision_request(msg)
             case RevisionOffer():
                 self._handle_offer(msg)
 
--- a/siskinroad/forwarding.py
+++ b/siskinroad/forwarding.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 
 from siskinroad.errors import Outcome, Reason, Refusal
-from siskinroad.messages import Forward, ForwardAck, ForwardAsk, Message, Reply
-from siskinroad.upstreams import Answer
+from siskinroad.messages import Forward, ForwardAck, ForwardQuery, Message, Reply
+from siskinroad.upstreams import UpstreamResponse
 
 __all__ = ["Forwarder", "Receiver"]
 
@@ -63,7 +63,7 @@
         self._sequence += 1
         return f"{self.name}.{self.incarnation}.{self._sequence}"
 
-    async def forward(self, peer: str, msg: Forward) -> Answer:
+    async def forward(self, peer: str, msg: Forward) -> UpstreamResponse:
         """Forward a request to the owner and return its complete answer.
 
         Raises
@@ -90,7 +90,7 @@
         while not pending.fut.done():
             if loop.time() - pending.last_ack_at >= PEER_SILENCE_TIMEOUT:
                 raise _peer_lost_refusal(peer)
-            self.send(peer, ForwardAsk(self.name, msg.id) if pending.acked else msg)
+            self.send(peer, ForwardQuery(self.name, msg.id) if pending.acked else msg)
             await asyncio.wait({pending.fut}, timeout=RESEND_INTERVAL)
         return pending.fut.result()
 
@@ -120,9 +120,9 @@
     )
 
 
-def _to_answer(reply: Reply, peer: str) -> Answer:
+def _to_answer(reply: Reply, peer: str) -> UpstreamResponse:
     if not reply.reason:
-        return Answer(reply.status, reply.body, reply.content_type)
+        return UpstreamResponse(reply.status, reply.body, reply.content_type)
     raise Refusal(
         Reason(reply.reason),
         step=reply.step,
@@ -146,7 +146,7 @@
         self,
         incarnation: int,
         send: Send,
-        run: Callable[[Forward], Awaitable[Answer]],
+        run: Callable[[Forward], Awaitable[UpstreamResponse]],
     ) -> None:
         self.incarnation = incarnation
         self.send = send
@@ -168,7 +168,7 @@
         else:
             self._start(msg)
 
-    def hear_ask(self, msg: ForwardAsk) -> None:
+    def hear_ask(self, msg: ForwardQuery) -> None:
         """Reply to a peer that polls for the reply to its request."""
         reply = self._replies.get(msg.id)
         if reply is not None:
--- a/siskinroad/heartbeats.py
+++ b/siskinroad/heartbeats.py
@@ -9,14 +9,14 @@
 import asyncio
 import logging
 
-from siskinroad.daemon_context import DaemonView
+from siskinroad.daemon_context import DaemonContext
 from siskinroad.errors import PlatformError
 from siskinroad.membership import HEARTBEAT_TIME
 from siskinroad.messages import (
     Digest,
     Echo,
     Heartbeat,
-    ListNews,
+    HostListUpdate,
     RevisionOffer,
     RevisionWanted,
     SnapshotWanted,
@@ -24,7 +24,7 @@
 )
 from siskinroad.platform import ListedHost
 
-__all__ = ["Beats"]
+__all__ = ["PeriodicMessages"]
 
 # Seconds between two reads of the platform's host list. A larger value delays the
 # reaction to hosts that come or go; a smaller one loads the platform.
@@ -47,7 +47,7 @@
 log = logging.getLogger("siskinroad.heartbeats")
 
 
-class Beats:
+class PeriodicMessages:
     """Sender and receiver of one daemon's periodic messages.
 
     Attributes
@@ -56,7 +56,7 @@
         Bytes of the digests sent to other data centres.
     """
 
-    def __init__(self, daemon: DaemonView) -> None:
+    def __init__(self, daemon: DaemonContext) -> None:
         self.daemon = daemon
         cfg = daemon.cfg
         self._local_peers = [
@@ -67,7 +67,7 @@
             if peer.data_centre != cfg.data_centre:
                 self._remote_peers.setdefault(peer.data_centre, []).append(peer.name)
         self._sequence = 0
-        self._host_list = ListNews("", [])
+        self._host_list = HostListUpdate("", [])
         self._host_list_sent: dict[str, tuple[int, str]] = {}
         self._latest_digests: dict[str, Digest] = {}
         self.sent_abroad = 0
@@ -135,7 +135,7 @@
             )
             self._forward_digests(msg.name, now)
         is_behind = msg.revision > daemon.configuration.revision
-        if is_behind and not daemon.feed.is_reachable(now):
+        if is_behind and not daemon.log_reader.is_reachable(now):
             self.request_revision(msg.name)
 
     def _forward_digests(self, name: str, now: float) -> None:
@@ -192,7 +192,7 @@
         daemon = self.daemon
         loop = asyncio.get_running_loop()
         while True:
-            if daemon.feed.is_reading(loop.time()):
+            if daemon.log_reader.is_reading(loop.time()):
                 await self._read_host_list()
                 self._send_host_list(loop.time())
             await asyncio.sleep(LIST_INTERVAL)
@@ -206,7 +206,7 @@
         except PlatformError:
             return
         if reply.hosts is not None:
-            self._apply_host_list(ListNews(reply.version, reply.hosts))
+            self._apply_host_list(HostListUpdate(reply.version, reply.hosts))
 
     def _send_host_list(self, now: float) -> None:
         daemon = self.daemon
@@ -218,11 +218,11 @@
                 self._host_list_sent[member.name] = sent_version
                 daemon.peers.send(member.name, self._host_list)
 
-    def handle_host_list(self, msg: ListNews) -> None:
+    def handle_host_list(self, msg: HostListUpdate) -> None:
         """Apply a host list that the data centre's reader has sent."""
         self._apply_host_list(msg)
 
-    def _apply_host_list(self, msg: ListNews) -> None:
+    def _apply_host_list(self, msg: HostListUpdate) -> None:
         self._host_list = msg
         hosts: list[ListedHost] = msg.hosts
         self.daemon.shards.set_listed({host.name: host.state for host in hosts})
--- a/siskinroad/host_monitor.py
+++ b/siskinroad/host_monitor.py
@@ -10,19 +10,19 @@
 from siskinroad.effects import ControlTask, End
 from siskinroad.errors import NotSentError, OutcomeUnknownError, StaleEpochError
 from siskinroad.names import AttemptName, attempt_name, parse_attempt, split_task
-from siskinroad.owner_context import OwnerView
+from siskinroad.owner_context import OwnerContext
 from siskinroad.placement import HostView
 from siskinroad.resources import Resources
 from siskinroad.upstreams import Control, Inventory, TaskReport, TaskState, Usage
 
-__all__ = ["TASK_LEASE", "HostWatch", "WatchedOwner", "watch_host"]
+__all__ = ["TASK_LEASE_S", "HostMonitor", "MonitoredOwner", "monitor_host"]
 
 # Lease of a task in seconds: the host stops it when no inventory has renewed it for
 # so long. If it is too short, a brief outage stops tasks; a longer one delays the
 # restart of the tasks of a dead host.
-TASK_LEASE = 20.0
+TASK_LEASE_S = 20.0
 # Long-poll time of an inventory request in seconds: the host answers when a task
-# ends, at the latest after this. It must stay below ``TASK_LEASE``, as each inventory
+# ends, at the latest after this. It must stay below ``TASK_LEASE_S``, as each inventory
 # renews the leases.
 INVENTORY_WAIT = 10.0
 # Seconds beyond the long poll after which a host counts as silent.
@@ -51,7 +51,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class HostWatch:
+class HostMonitor:
     """Monitor of one host of an owned shard.
 
     Attributes
@@ -107,7 +107,7 @@
         return self.answered or self.leases_expired
 
     async def fetch_inventory(
-        self, owner: WatchedOwner, *, wait: float, renew: bool
+        self, owner: MonitoredOwner, *, wait: float, renew: bool
     ) -> bool:
         """Fetch the inventory once; return whether the host answered.
 
@@ -141,7 +141,7 @@
         _apply_inventory(owner, self, inventory, asked_at)
         return True
 
-    def _mark_silent(self, owner: WatchedOwner, now: float, renew: bool) -> None:
+    def _mark_silent(self, owner: MonitoredOwner, now: float, renew: bool) -> None:
         if renew:
             self.last_renewal = now
         if not self.silent:
@@ -149,13 +149,15 @@
             owner.ports.count_event("host", "silent")
         owner.host_event(self.host.name, "silent")
 
-    def _mark_answered(self, owner: WatchedOwner) -> None:
+    def _mark_answered(self, owner: MonitoredOwner) -> None:
         self.answered = True
         self.silent = False
         self.leases_expired = False
         owner.host_event(self.host.name, "inventory")
 
-    def check_lease_expiry(self, owner: WatchedOwner, lease: float, now: float) -> None:
+    def check_lease_expiry(
+        self, owner: MonitoredOwner, lease: float, now: float
+    ) -> None:
         """End the tasks of a silent host as lost once their leases have expired."""
         if self.leases_expired or now < self.last_renewal + lease + LEASE_MARGIN:
             return
@@ -170,21 +172,21 @@
     def adopt(self, name: AttemptName, host: str) -> bool:
         """Adopt a task that a host reports; return False if it must not run."""
 
-    def acknowledge(self, key: str, watch: HostWatch, attempt: str) -> None:
+    def acknowledge(self, key: str, monitor: HostMonitor, attempt: str) -> None:
         """Acknowledge an ended attempt to its host once nothing depends on it."""
 
 
-class WatchedOwner(OwnerView, Protocol):
-    """A shard's owner with its host monitors in ``watches``, by host name."""
+class MonitoredOwner(OwnerContext, Protocol):
+    """A shard's owner with its host monitors in ``monitors``, by host name."""
 
-    watches: dict[str, HostWatch]
+    monitors: dict[str, HostMonitor]
 
     @property
     def tasks(self) -> TaskTracker:
         """Tasks of the shard's jobs."""
 
 
-async def watch_host(owner: WatchedOwner, watch: HostWatch) -> None:
+async def monitor_host(owner: MonitoredOwner, monitor: HostMonitor) -> None:
     """Fetch a host's inventory in a loop until the host is removed.
 
     No lease is renewed while the host is silent, so that its task leases are certain
@@ -192,25 +194,25 @@
     """
     loop = asyncio.get_running_loop()
     pause = MIN_PAUSE
-    while not watch.removed:
-        if watch.silent:
+    while not monitor.removed:
+        if monitor.silent:
             await asyncio.sleep(SILENT_RETRY_INTERVAL)
-            await watch.fetch_inventory(owner, wait=0.0, renew=False)
-            watch.check_lease_expiry(owner, TASK_LEASE, loop.time())
+            await monitor.fetch_inventory(owner, wait=0.0, renew=False)
+            monitor.check_lease_expiry(owner, TASK_LEASE_S, loop.time())
             continue
-        if await watch.fetch_inventory(owner, wait=INVENTORY_WAIT, renew=True):
+        if await monitor.fetch_inventory(owner, wait=INVENTORY_WAIT, renew=True):
             doubled_pause = min(pause * 2, MAX_UNCHANGED_PAUSE)
-            pause = doubled_pause if watch.unchanged else MIN_PAUSE
+            pause = doubled_pause if monitor.unchanged else MIN_PAUSE
             await asyncio.sleep(pause)
 
 
 def _apply_inventory(
-    owner: WatchedOwner, watch: HostWatch, inventory: Inventory, asked_at: float
+    owner: MonitoredOwner, monitor: HostMonitor, inventory: Inventory, asked_at: float
 ) -> None:
     """Reconcile the scheduler's state with a host's inventory."""
     if inventory.leaving:
-        owner.host_event(watch.host.name, "leave")
-    view = owner.scheduler.view(watch.host.name)
+        owner.host_event(monitor.host.name, "leave")
+    view = owner.scheduler.view(monitor.host.name)
     if view is None:
         return
     usage: list[tuple[str, int, Usage]] = []
@@ -220,25 +222,25 @@
         name = parse_attempt(report.attempt)
         if name is None or report.state is not TaskState.RUNNING:
             continue
-        if not _apply_running_task(owner, watch, name, report, usage):
+        if not _apply_running_task(owner, monitor, name, report, usage):
             unknown.append(report)
     _reserve_unknown_tasks(owner, view, unknown)
     for report in inventory.tasks:
         name = parse_attempt(report.attempt)
         if name is not None and report.state is not TaskState.RUNNING:
-            _apply_ended_task(owner, watch, name, report)
+            _apply_ended_task(owner, monitor, name, report)
     listed = {report.attempt for report in inventory.tasks}
-    _end_unlisted_tasks(owner, watch, view, listed, asked_at)
-    _reserve_leftover_requests(owner, watch, view, inventory.requests)
+    _end_unlisted_tasks(owner, monitor, view, listed, asked_at)
+    _reserve_leftover_requests(owner, monitor, view, inventory.requests)
     now = asyncio.get_running_loop().time()
-    owner.run(owner.scheduler.usage(watch.host.name, usage, now))
-    controls, watch.controls_to_retry = watch.controls_to_retry, []
+    owner.run(owner.scheduler.usage(monitor.host.name, usage, now))
+    controls, monitor.controls_to_retry = monitor.controls_to_retry, []
     owner.run(list(controls))
 
 
 def _apply_running_task(
-    owner: WatchedOwner,
-    watch: HostWatch,
+    owner: MonitoredOwner,
+    monitor: HostMonitor,
     name: AttemptName,
     report: TaskReport,
     usage: list[tuple[str, int, Usage]],
@@ -247,7 +249,7 @@
 
     Returns False if the task was told to stop.
     """
-    host = watch.host.name
+    host = monitor.host.name
     run = owner.scheduler.shard.running.get(name.key)
     known = run is not None and run.attempt == name.run and name.member in run.hosts
     if not known and not owner.tasks.adopt(name, host):
@@ -259,14 +261,14 @@
     return True
 
 
-def _release_unknown_tasks(owner: WatchedOwner, view: HostView) -> None:
+def _release_unknown_tasks(owner: MonitoredOwner, view: HostView) -> None:
     index = owner.scheduler.shard.pool_state(view.name).index
     for task in [task for task in view.tasks if task.startswith(UNKNOWN_TASK)]:
         index.give_back(view, task, UNKNOWN_TASK)
 
 
 def _reserve_unknown_tasks(
-    owner: WatchedOwner, view: HostView, reports: list[TaskReport]
+    owner: MonitoredOwner, view: HostView, reports: list[TaskReport]
 ) -> None:
     """Reserve capacity for tasks that were told to stop, until they have stopped."""
     shard = owner.scheduler.shard
@@ -281,16 +283,16 @@
 
 
 def _apply_ended_task(
-    owner: WatchedOwner, watch: HostWatch, name: AttemptName, report: TaskReport
+    owner: MonitoredOwner, monitor: HostMonitor, name: AttemptName, report: TaskReport
 ) -> None:
-    if report.attempt in watch.unrecorded:
+    if report.attempt in monitor.unrecorded:
         return
     running = owner.scheduler.shard.running
     run = running.get(name.key)
     if run is None or run.attempt != name.run:
-        owner.tasks.adopt(name, watch.host.name)
+        owner.tasks.adopt(name, monitor.host.name)
         run = running.get(name.key)
-    watch.unrecorded.add(report.attempt)
+    monitor.unrecorded.add(report.attempt)
     if run is not None and run.attempt == name.run and name.member in run.hosts:
         now = asyncio.get_running_loop().time()
         end = END_BY_STATE[report.state]
@@ -298,12 +300,12 @@
             name.key, name.member, end, now, report.run_time, report.usage
         )
         owner.run(effects)
-    owner.tasks.acknowledge(name.key, watch, report.attempt)
+    owner.tasks.acknowledge(name.key, monitor, report.attempt)
 
 
 def _end_unlisted_tasks(
-    owner: WatchedOwner,
-    watch: HostWatch,
+    owner: MonitoredOwner,
+    monitor: HostMonitor,
     view: HostView,
     listed: set[str],
     asked_at: float,
@@ -313,7 +315,7 @@
     An inventory requested before the last start on the host ended may lack that
     task, so it ends none.
     """
-    if watch.last_start_ended_at >= asked_at:
+    if monitor.last_start_ended_at >= asked_at:
         return
     now = asyncio.get_running_loop().time()
     for task in list(view.tasks):
@@ -322,39 +324,39 @@
         if run is None or run.item.workload.kind == "service":
             continue
         attempt = attempt_name(run.attempt, member)
-        if attempt not in listed and attempt not in watch.starting:
+        if attempt not in listed and attempt not in monitor.starting:
             owner.run(owner.scheduler.ended(key, member, End.LOST, now))
 
 
 def _reserve_leftover_requests(
-    owner: WatchedOwner, watch: HostWatch, view: HostView, requests: int
+    owner: MonitoredOwner, monitor: HostMonitor, view: HostView, requests: int
 ) -> None:
     """Reserve capacity for requests that earlier owners left on the host."""
-    if watch.leftover_requests == 0:
+    if monitor.leftover_requests == 0:
         return
     index = owner.scheduler.shard.pool_state(view.name).index
     if LEFTOVER_REQUESTS in view.tasks:
         index.give_back(view, LEFTOVER_REQUESTS, LEFTOVER_REQUESTS)
     leftover = max(0, requests - _count_own_requests(owner, view))
-    watch.leftover_requests = (
+    monitor.leftover_requests = (
         leftover
-        if watch.leftover_requests < 0
-        else min(leftover, watch.leftover_requests)
+        if monitor.leftover_requests < 0
+        else min(leftover, monitor.leftover_requests)
     )
-    if watch.leftover_requests:
-        need = _largest_request(owner, watch.host).times(watch.leftover_requests)
+    if monitor.leftover_requests:
+        need = _largest_request(owner, monitor.host).times(monitor.leftover_requests)
         free = Resources(view.cpu, view.memory, view.accelerators, view.slots)
         index.take(view, LEFTOVER_REQUESTS, need.clip(free), LEFTOVER_REQUESTS)
 
 
-def _count_own_requests(owner: WatchedOwner, view: HostView) -> int:
+def _count_own_requests(owner: MonitoredOwner, view: HostView) -> int:
     running = owner.scheduler.shard.running
     keys = (split_task(task)[0] for task in view.tasks)
     runs = (running.get(key) for key in keys)
     return sum(1 for run in runs if run and run.item.workload.kind == "service")
 
 
-def _largest_request(owner: WatchedOwner, host: Host) -> Resources:
+def _largest_request(owner: MonitoredOwner, host: Host) -> Resources:
     needs = [
         workload.demand
         for workload in owner.scheduler.shard.cell.workloads.values()
--- a/siskinroad/http_client.py
+++ b/siskinroad/http_client.py
@@ -13,7 +13,7 @@
 
 from siskinroad.errors import NotSentError, OutcomeUnknownError
 
-__all__ = ["HttpAnswer", "HttpPool"]
+__all__ = ["ClientResponse", "HttpPool"]
 
 # Most bytes read from a connection at once.
 READ_BYTES = 65536
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HttpAnswer:
+class ClientResponse:
     """Response with its whole body; header names are in lower case."""
 
     status: int
@@ -96,7 +96,7 @@
         limit: float = 10.0,
         fresh: bool = False,
         host: str = "",
-    ) -> HttpAnswer:
+    ) -> ClientResponse:
         """Send one request and return its whole response.
 
         Parameters
@@ -185,7 +185,7 @@
         target: str,
         body: bytes,
         headers: tuple[tuple[str, str], ...],
-    ) -> HttpAnswer:
+    ) -> ClientResponse:
         fields = [("host", host), ("content-length", str(len(body))), *headers]
         head = h11.Request(method=method, target=target, headers=fields)
         data = conn.http.send(head) or b""
@@ -196,7 +196,7 @@
         await conn.writer.drain()
         return await self._read_response(conn)
 
-    async def _read_response(self, conn: _Connection) -> HttpAnswer:
+    async def _read_response(self, conn: _Connection) -> ClientResponse:
         head: h11.Response | None = None
         body = bytearray()
         while True:
@@ -220,7 +220,7 @@
         header_fields = {
             k.decode("latin-1"): v.decode("latin-1") for k, v in head.headers
         }
-        return HttpAnswer(head.status_code, header_fields, bytes(body))
+        return ClientResponse(head.status_code, header_fields, bytes(body))
 
     def _release(self, address: str, conn: _Connection) -> None:
         is_done = conn.http.our_state is h11.DONE and conn.http.their_state is h11.DONE
--- a/siskinroad/idempotency.py
+++ b/siskinroad/idempotency.py
@@ -14,9 +14,9 @@
 from siskinroad.errors import Outcome, PlatformError, Reason, Refusal
 from siskinroad.ledger import KeyState, Ledger
 from siskinroad.records import IntentRecorded, KeyOutcome, Record
-from siskinroad.upstreams import Answer
+from siskinroad.upstreams import UpstreamResponse
 
-__all__ = ["KeyGuard"]
+__all__ = ["IdempotencyGuard"]
 
 # Seconds in which an intent must be appended to the log; otherwise the request is
 # refused as not run.
@@ -33,7 +33,7 @@
 UNKNOWN = "unknown"
 
 
-class KeyGuard:
+class IdempotencyGuard:
     """Guard that runs each keyed request at most once within the data centre.
 
     Parameters
@@ -63,8 +63,8 @@
         key: str,
         service: str,
         body: bytes,
-        send: Callable[[], Awaitable[Answer]],
-    ) -> Answer:
+        send: Callable[[], Awaitable[UpstreamResponse]],
+    ) -> UpstreamResponse:
         """Send a request unless its key has been used; return the answer.
 
         Raises
@@ -118,8 +118,8 @@
             raise Refusal(Reason.KEY_REUSED, step="keys")
 
     async def _send(
-        self, full_key: str, send: Callable[[], Awaitable[Answer]]
-    ) -> Answer:
+        self, full_key: str, send: Callable[[], Awaitable[UpstreamResponse]]
+    ) -> UpstreamResponse:
         try:
             answer = await send()
         except Refusal as exc:
@@ -133,7 +133,7 @@
         return answer
 
     def _record_outcome(
-        self, full_key: str, outcome: str, answer: Answer | None
+        self, full_key: str, outcome: str, answer: UpstreamResponse | None
     ) -> None:
         status = answer.status if answer is not None else 0
         is_small = answer is not None and len(answer.body) <= MAX_STORED_BODY
@@ -147,7 +147,7 @@
     return state.outcome is not None and state.outcome.outcome == NOT_RUN
 
 
-def _replay_answer(state: KeyState, request_digest: str) -> Answer:
+def _replay_answer(state: KeyState, request_digest: str) -> UpstreamResponse:
     """Return the stored answer to a repeated request.
 
     Raises
@@ -161,7 +161,7 @@
         )
     outcome = state.outcome
     if outcome is not None and outcome.outcome == DONE and outcome.body is not None:
-        return Answer(outcome.status, outcome.body)
+        return UpstreamResponse(outcome.status, outcome.body)
     if outcome is not None and outcome.outcome == DONE:
         raise Refusal(
             Reason.KEY_IN_PROGRESS,
--- a/siskinroad/jobs.py
+++ b/siskinroad/jobs.py
@@ -22,9 +22,9 @@
 from siskinroad.records import JobAccepted, JobCancelled, Record
 from siskinroad.request_handler import home_data_centre_of
 from siskinroad.routing import Place, ShardLoad, choose
-from siskinroad.shards import ShardSet
+from siskinroad.shards import OwnedShards
 
-__all__ = ["JobDesk", "JobView", "data_centre_of"]
+__all__ = ["JobService", "JobView", "data_centre_of"]
 
 # Seconds after which the append of a job's record fails; it may be stored
 # nevertheless, so the outcome is then unknown.
@@ -77,7 +77,7 @@
     return job.rpartition(".")[0]
 
 
-class JobDesk:
+class JobService:
     """Service for jobs, which calls the daemon that owns a job's shard if needed."""
 
     def __init__(
@@ -85,7 +85,7 @@
         name: str,
         incarnation: int,
         place: Place,
-        shards: ShardSet,
+        shards: OwnedShards,
         ledger: Ledger,
         put: Callable[[Record, float], asyncio.Future[int]],
         wait_applied: Callable[[int], Awaitable[None]],
@@ -340,7 +340,7 @@
         waiting = owner.scheduler.shard.waiting.lane(workload).live
         if waiting + msg.count > workload.queue_limit:
             raise Refusal(Reason.QUEUE_FULL, step="submit", retry_after=5.0)
-        if not owner.scheduler.shard.door.admits(
+        if not owner.scheduler.shard.admission_limit.admits(
             len(owner.scheduler.shard.items) + msg.count, workload.urgency
         ):
             raise Refusal(Reason.SHED, step="submit", retry_after=5.0)
--- a/siskinroad/ledger.py
+++ b/siskinroad/ledger.py
@@ -25,7 +25,7 @@
     TasksEnded,
     epoch_of,
 )
-from siskinroad.snapshots import Assembler
+from siskinroad.snapshots import SnapshotAssembler
 
 _State = TypeVar("_State")
 
@@ -109,7 +109,7 @@
         self.keys: dict[str, KeyState] = {}
         self.whole = True
         self.snapshot_as_of = 0
-        self._assembler = Assembler()
+        self._assembler = SnapshotAssembler()
         self._pending: list[tuple[int, list[Record]]] = []
 
     def skip_to(self, first: int) -> None:
@@ -117,7 +117,7 @@
         self.whole = False
         self.next_offset = first
         self._pending = []
-        self._assembler = Assembler()
+        self._assembler = SnapshotAssembler()
 
     def apply(self, offset: int, records: list[Record]) -> None:
         """Apply one append's records.
--- a/siskinroad/limits.py
+++ b/siskinroad/limits.py
@@ -7,7 +7,7 @@
 
 from siskinroad.cell import Urgency
 
-__all__ = ["ByteLimit", "ConcurrencyLimit", "Door", "Headroom", "Rate"]
+__all__ = ["AdmissionLimit", "ByteLimit", "ConcurrencyLimit", "Headroom", "Rate"]
 
 # Tasks by which a host's limit grows for each limit's worth of successes.
 INCREASE = 0.25
@@ -144,7 +144,7 @@
 
 
 @dataclass(slots=True)
-class Door:
+class AdmissionLimit:
     """Admission limit by urgency class: the least urgent work is shed first.
 
     Attributes
--- a/siskinroad/listeners.py
+++ b/siskinroad/listeners.py
@@ -7,14 +7,14 @@
 import random
 import signal
 
-from siskinroad.callers import Callers
+from siskinroad.callers import CallerApi
 from siskinroad.entry import Daemon
 from siskinroad.httpd import HttpLimits, HttpServer
-from siskinroad.operators import Operators
-from siskinroad.peers_zmq import ZmqPeers
+from siskinroad.operators import OperatorApi
+from siskinroad.peers_zmq import ZmqTransport
 from siskinroad.platform_http import HttpPlatform
 from siskinroad.settings import Settings
-from siskinroad.upstreams_http import HttpUpstreams
+from siskinroad.upstreams_http import HttpUpstreamClient
 
 __all__ = ["EXIT_DRAINED", "EXIT_KILLED", "EXIT_TIMEOUT", "Node", "run_node"]
 
@@ -44,22 +44,22 @@
 
     def __init__(self, cfg: Settings, incarnation: int, rng: random.Random) -> None:
         self.cfg = cfg
-        self.transport = ZmqPeers(cfg)
+        self.transport = ZmqTransport(cfg)
         self.daemon = Daemon(
             cfg,
             incarnation,
             HttpPlatform(cfg.platform),
-            HttpUpstreams(),
+            HttpUpstreamClient(),
             self.transport,
             rng,
         )
         refusals = self.daemon.metrics.http.labels
         limits = HttpLimits(connections=cfg.max_connections, body_bytes=MAX_CALLER_BODY)
         self.caller_http = HttpServer(
-            Callers(self.daemon).handle, limits, lambda reason: refusals(reason).inc()
+            CallerApi(self.daemon).handle, limits, lambda reason: refusals(reason).inc()
         )
         self.operator_http = HttpServer(
-            Operators(self.daemon).handle,
+            OperatorApi(self.daemon).handle,
             HttpLimits(connections=64, body_bytes=MAX_OPERATOR_BODY),
             lambda reason: refusals(reason).inc(),
         )
--- a/siskinroad/load_reports.py
+++ b/siskinroad/load_reports.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from siskinroad.membership import Membership
-from siskinroad.messages import Digest, ShardNews
+from siskinroad.messages import Digest, ShardUpdate
 from siskinroad.routing import Place, ShardLoad
 
 __all__ = ["LoadTable"]
@@ -68,7 +68,7 @@
 
 
 def _shard_load(
-    update: ShardNews, owner: str, place: Place, received_at: float
+    update: ShardUpdate, owner: str, place: Place, received_at: float
 ) -> ShardLoad:
     pool = update.shard.partition("/")[0]
     return ShardLoad(
--- a/siskinroad/log_reader.py
+++ b/siskinroad/log_reader.py
@@ -19,7 +19,7 @@
 from siskinroad.platform import Platform
 from siskinroad.records import Record, decode_batch
 
-__all__ = ["LogFeed", "Stream"]
+__all__ = ["LogReader", "Stream"]
 
 # Longest seconds between two reads of the log. Reads confirm claims, so that a value
 # near ``LEASE_TIME`` lets them expire; a smaller one loads the platform.
@@ -89,7 +89,7 @@
             self.recent_bytes -= len(self.recent.popleft()[1])
 
 
-class LogFeed:
+class LogReader:
     """Reader of the log's streams, directly or through the data centre's reader.
 
     Parameters
--- a/siskinroad/membership.py
+++ b/siskinroad/membership.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass, field
 
-from siskinroad.messages import Heartbeat, ShardNews
+from siskinroad.messages import Heartbeat, ShardUpdate
 
 __all__ = ["HEARTBEAT_TIME", "HEARTBEAT_TIMEOUT", "Member", "Membership"]
 
@@ -49,7 +49,7 @@
     joined: bool = False
     revision: int = 0
     admits: frozenset[str] = frozenset()
-    shards: list[ShardNews] = field(default_factory=list)
+    shards: list[ShardUpdate] = field(default_factory=list)
 
 
 class Membership:
--- a/siskinroad/messages.py
+++ b/siskinroad/messages.py
@@ -14,11 +14,11 @@
     "Echo",
     "Forward",
     "ForwardAck",
-    "ForwardAsk",
+    "ForwardQuery",
     "Heartbeat",
+    "HostListUpdate",
     "JobReply",
     "JobRequest",
-    "ListNews",
     "LogFetch",
     "LogRecords",
     "LogTail",
@@ -26,14 +26,14 @@
     "Reply",
     "RevisionOffer",
     "RevisionWanted",
-    "ShardNews",
+    "ShardUpdate",
     "SnapshotWanted",
     "decode",
     "encode",
 ]
 
 
-class ShardNews(msgspec.Struct, frozen=True, array_like=True):
+class ShardUpdate(msgspec.Struct, frozen=True, array_like=True):
     """An owner's update on one shard.
 
     ``free`` is the free capacity, ``waits`` the expected wait in seconds by
@@ -77,7 +77,7 @@
     draining: bool
     joined: bool
     admits: list[str] | None
-    shards: list[ShardNews]
+    shards: list[ShardUpdate]
 
 
 class Digest(msgspec.Struct, tag="digest", frozen=True):
@@ -94,7 +94,7 @@
     revision: int
     stamp: int
     owners: dict[str, tuple[str, int]]
-    shards: list[ShardNews]
+    shards: list[ShardUpdate]
     relay: bool
 
 
@@ -145,7 +145,7 @@
     known: int
 
 
-class ListNews(msgspec.Struct, tag="list", frozen=True):
+class HostListUpdate(msgspec.Struct, tag="list", frozen=True):
     """Update with the platform's list of the data centre's hosts."""
 
     version: str
@@ -178,7 +178,7 @@
     id: str
 
 
-class ForwardAsk(msgspec.Struct, tag="fask", frozen=True):
+class ForwardQuery(msgspec.Struct, tag="fask", frozen=True):
     """Query for the reply to a forwarded request that was acknowledged."""
 
     name: str
@@ -226,13 +226,13 @@
     | LogTail
     | LogRecords
     | LogFetch
-    | ListNews
+    | HostListUpdate
     | SnapshotWanted
     | RevisionOffer
     | RevisionWanted
     | Forward
     | ForwardAck
-    | ForwardAsk
+    | ForwardQuery
     | Reply
     | JobRequest
     | JobReply
--- a/siskinroad/operators.py
+++ b/siskinroad/operators.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from siskinroad.entry import Daemon
 
-__all__ = ["Operators"]
+__all__ = ["OperatorApi"]
 
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 # Paths that are served without a token.
@@ -25,7 +25,7 @@
 log = logging.getLogger("siskinroad.operators")
 
 
-class Operators:
+class OperatorApi:
     """Request handler of the operators' listener.
 
     All paths except health and metrics need the operators' token, if one is set.
--- a/siskinroad/owner.py
+++ b/siskinroad/owner.py
@@ -10,13 +10,13 @@
 from siskinroad.cell import Cell, Host
 from siskinroad.effects import ControlTask, Effect, Finished, Refused, StartTask
 from siskinroad.errors import NotSentError, OutcomeUnknownError, StaleEpochError
-from siskinroad.host_monitor import HostWatch, watch_host
+from siskinroad.host_monitor import HostMonitor, monitor_host
 from siskinroad.names import attempt_name
 from siskinroad.owner_context import OwnerPorts
-from siskinroad.requests import Requests
+from siskinroad.requests import RequestTable
 from siskinroad.resources import Resources
 from siskinroad.scheduler import TICK_TIME, Scheduler
-from siskinroad.tasks import Tasks
+from siskinroad.tasks import TaskTable
 
 __all__ = ["ShardOwner"]
 
@@ -52,9 +52,9 @@
         self.scheduler = Scheduler(cell, ports.rng, now)
         self.scheduler.paused = True
         self.stale = False
-        self.watches: dict[str, HostWatch] = {}
-        self.requests = Requests(self)
-        self.tasks = Tasks(self)
+        self.monitors: dict[str, HostMonitor] = {}
+        self.requests = RequestTable(self)
+        self.tasks = TaskTable(self)
         self._in_flight: set[asyncio.Task[None]] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self.closed = False
@@ -67,25 +67,25 @@
 
     def _add_host(self, host: Host) -> None:
         self.scheduler.add_host(host, self.now())
-        self.watches[host.name] = HostWatch(host)
+        self.monitors[host.name] = HostMonitor(host)
 
     # Lifecycle
 
     async def take_over(self) -> None:
         """Fetch the inventory of every host, then start to place work."""
         async with asyncio.TaskGroup() as group:
-            for watch in self.watches.values():
-                group.create_task(self._fetch_first_inventory(watch))
+            for monitor in self.monitors.values():
+                group.create_task(self._fetch_first_inventory(monitor))
         if self.closed:
             return
-        for watch in self.watches.values():
-            self.spawn(watch_host(self, watch))
+        for monitor in self.monitors.values():
+            self.spawn(monitor_host(self, monitor))
         self.spawn(self._tick())
         self.tasks.queue_missing()
         self.resume()
 
-    async def _fetch_first_inventory(self, watch: HostWatch) -> None:
-        await watch.fetch_inventory(self, wait=0.0, renew=True)
+    async def _fetch_first_inventory(self, monitor: HostMonitor) -> None:
+        await monitor.fetch_inventory(self, wait=0.0, renew=True)
 
     def resume(self) -> None:
         """Place work again; called once ownership of the shard is certain."""
@@ -104,7 +104,7 @@
         inventories.
         """
         self.suspend()
-        while any(watch.starting for watch in self.watches.values()):
+        while any(monitor.starting for monitor in self.monitors.values()):
             await asyncio.sleep(RELEASE_POLL_INTERVAL)
 
     def close(self) -> None:
@@ -154,16 +154,16 @@
         """Apply a new cell configuration: remove, add and update hosts."""
         now = self.now()
         names = {host.name for host in hosts}
-        for name in [name for name in self.watches if name not in names]:
-            watch = self.watches.pop(name)
-            watch.removed = True
+        for name in [name for name in self.monitors if name not in names]:
+            monitor = self.monitors.pop(name)
+            monitor.removed = True
             self.run(self.scheduler.remove_host(name, now))
         self.run(self.scheduler.configure(cell, now))
         for host in hosts:
-            if host.name not in self.watches:
+            if host.name not in self.monitors:
                 self._add_host(host)
-                self.spawn(watch_host(self, self.watches[host.name]))
-            self.watches[host.name].host = host
+                self.spawn(monitor_host(self, self.monitors[host.name]))
+            self.monitors[host.name].host = host
 
     def host_event(self, name: str, event: str) -> None:
         """Apply an event of the ``upstream`` chart to a host."""
@@ -212,23 +212,23 @@
             # Recorded before the coroutine first runs: the inventory being applied
             # now may be older than this decision and must not end the attempt as
             # lost.
-            self.watches[host].starting.add(attempt_name(effect.attempt, member))
+            self.monitors[host].starting.add(attempt_name(effect.attempt, member))
             self._in_flight.add(self.spawn(self.tasks.start(effect, member)))
 
     async def _control(self, effect: ControlTask) -> None:
-        watch = self.watches.get(effect.host)
-        if watch is None or effect.key in self.requests:
+        monitor = self.monitors.get(effect.host)
+        if monitor is None or effect.key in self.requests:
             return
         attempt = attempt_name(effect.attempt, effect.member)
         self.ports.count_event("control", effect.do.value)
         try:
             await self.ports.upstreams.control(
-                watch.host, self.epoch, attempt, effect.do
+                monitor.host, self.epoch, attempt, effect.do
             )
         except StaleEpochError:
             self.mark_stale()
         except (NotSentError, OutcomeUnknownError):
-            watch.controls_to_retry.append(effect)
+            monitor.controls_to_retry.append(effect)
 
     # State for peers and status pages
 
--- a/siskinroad/owner_context.py
+++ b/siskinroad/owner_context.py
@@ -11,9 +11,9 @@
 from siskinroad.cell import Workload
 from siskinroad.effects import Effect
 from siskinroad.scheduler import Scheduler
-from siskinroad.upstreams import Upstreams
+from siskinroad.upstreams import UpstreamClient
 
-__all__ = ["OwnerPorts", "OwnerView"]
+__all__ = ["OwnerContext", "OwnerPorts"]
 
 
 @dataclass(slots=True, frozen=True)
@@ -35,7 +35,7 @@
         Adds an item's wait before its start, in seconds, to the metrics.
     """
 
-    upstreams: Upstreams
+    upstreams: UpstreamClient
     may_place: Callable[[], bool]
     is_certain: Callable[[], bool]
     record_end: Callable[[str, int, str], asyncio.Future[int]]
@@ -44,7 +44,7 @@
     rng: random.Random
 
 
-class OwnerView(Protocol):
+class OwnerContext(Protocol):
     """Context that a shard's owner gives its parts.
 
     Attributes
--- a/siskinroad/ownership.py
+++ b/siskinroad/ownership.py
@@ -31,13 +31,13 @@
     "LEASE_TIME",
     "Append",
     "DropShard",
-    "Holding",
     "Ownership",
     "OwnershipEffect",
     "ReleaseShard",
     "ResumeShard",
+    "ShardClaim",
     "SuspendShard",
-    "TakeShard",
+    "TakeOverShard",
     "rendezvous",
 ]
 
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TakeShard:
+class TakeOverShard:
     """Ask the shard's hosts which tasks they run, then start placing work."""
 
     shard: str
@@ -110,12 +110,12 @@
 
 
 OwnershipEffect = (
-    Append | TakeShard | SuspendShard | ResumeShard | ReleaseShard | DropShard
+    Append | TakeOverShard | SuspendShard | ResumeShard | ReleaseShard | DropShard
 )
 
 
 @dataclass(slots=True)
-class Holding:
+class ShardClaim:
     """State of the claim that this daemon has or seeks on one shard.
 
     Attributes
@@ -162,7 +162,7 @@
         self.shards: dict[str, bool] = {}
         self.gone: set[str] = set()
         self.draining = False
-        self.holdings: dict[str, Holding] = {}
+        self.shard_claims: dict[str, ShardClaim] = {}
         self.confirmed = float("-inf")
         self._chart = load_chart("claim")
         self._join_attempted_at = float("-inf")
@@ -184,17 +184,21 @@
 
     def taken(self, shard: str, epoch: int) -> bool:
         """Record that the hosts were queried; return whether the claim is in force."""
-        holding = self.holdings.get(shard)
-        if holding is None or holding.epoch != epoch or holding.state != "taking":
+        shard_claim = self.shard_claims.get(shard)
+        if (
+            shard_claim is None
+            or shard_claim.epoch != epoch
+            or shard_claim.state != "taking"
+        ):
             return False
-        self._transition(holding, "taken")
+        self._transition(shard_claim, "taken")
         return True
 
     # Queries
 
     def contests(self) -> list[str]:
         """Return the shards that this daemon has claimed or may have claimed."""
-        return [s for s, h in self.holdings.items() if h.state != "idle"]
+        return [s for s, h in self.shard_claims.items() if h.state != "idle"]
 
     def admits(self) -> list[str]:
         """Return the daemons whose statements a confirmation by peers needs."""
@@ -208,8 +212,8 @@
 
     def epoch(self, shard: str) -> int:
         """Return the epoch of this daemon's claim on a shard, 0 if it has none."""
-        holding = self.holdings.get(shard)
-        return holding.epoch if holding is not None else 0
+        shard_claim = self.shard_claims.get(shard)
+        return shard_claim.epoch if shard_claim is not None else 0
 
     def lease_until(self, shard: str) -> float:
         """Return the loop time at which the lease on a shard expires."""
@@ -233,10 +237,10 @@
         return self._holds_claim(shard) and now < self.lease_until(shard)
 
     def _holds_claim(self, shard: str) -> bool:
-        holding = self.holdings.get(shard)
-        if holding is None or holding.state not in ("owning", "suspended"):
+        shard_claim = self.shard_claims.get(shard)
+        if shard_claim is None or shard_claim.state not in ("owning", "suspended"):
             return False
-        return not self._is_claim_lost(shard, holding)
+        return not self._is_claim_lost(shard, shard_claim)
 
     def _peers_confirmed_at(self, shard: str) -> float:
         names = self.admits()
@@ -250,9 +254,9 @@
             oldest = min(oldest, member.echoed_stamp)
         return oldest
 
-    def _is_claim_lost(self, shard: str, holding: Holding) -> bool:
+    def _is_claim_lost(self, shard: str, shard_claim: ShardClaim) -> bool:
         claim = self.ledger.claims.get(shard)
-        return claim is None or claim.epoch != holding.epoch
+        return claim is None or claim.epoch != shard_claim.epoch
 
     # Decisions
 
@@ -266,7 +270,7 @@
         effects = self._request_admission(now)
         for shard in sorted(self.shards):
             effects += self._tick_shard(shard, now)
-        for shard in sorted(self.holdings.keys() - self.shards.keys()):
+        for shard in sorted(self.shard_claims.keys() - self.shards.keys()):
             effects += self._release_removed_shard(shard)
         return effects
 
@@ -281,50 +285,50 @@
         return [Append(DaemonJoined(self.name, self.incarnation))]
 
     def _tick_shard(self, shard: str, now: float) -> list[OwnershipEffect]:
-        holding = self.holdings.get(shard)
-        if holding is None:
-            holding = self.holdings[shard] = Holding()
-        match holding.state:
+        shard_claim = self.shard_claims.get(shard)
+        if shard_claim is None:
+            shard_claim = self.shard_claims[shard] = ShardClaim()
+        match shard_claim.state:
             case "idle":
-                return self._tick_idle(shard, holding, now)
+                return self._tick_idle(shard, shard_claim, now)
             case "claiming":
-                return self._tick_claiming(shard, holding, now)
+                return self._tick_claiming(shard, shard_claim, now)
             case "waiting" | "taking":
-                return self._tick_waiting(shard, holding, now)
+                return self._tick_waiting(shard, shard_claim, now)
             case _:
-                return self._tick_owning(shard, holding, now)
+                return self._tick_owning(shard, shard_claim, now)
 
     def _tick_idle(
-        self, shard: str, holding: Holding, now: float
+        self, shard: str, shard_claim: ShardClaim, now: float
     ) -> list[OwnershipEffect]:
         claim = self.ledger.claims.get(shard)
-        if claim is not None and self._is_late_claim(claim, holding):
-            return self._adopt_late_claim(shard, holding, claim, now)
-        if now < holding.retry_at or self.draining or not self.joined():
+        if claim is not None and self._is_late_claim(claim, shard_claim):
+            return self._adopt_late_claim(shard, shard_claim, claim, now)
+        if now < shard_claim.retry_at or self.draining or not self.joined():
             return []
         if self._preferred_owner(shard, claim, now) != self.name:
             return []
         if claim is not None and not self._may_replace(claim, now):
             return []
-        self._transition(holding, "claim")
-        holding.claimed_at = now
+        self._transition(shard_claim, "claim")
+        shard_claim.claimed_at = now
         replaces = claim.epoch if claim is not None else 0
         record = ClaimMade(shard, self.name, self.incarnation, replaces)
         return [Append(record)]
 
-    def _is_late_claim(self, claim: Claim, holding: Holding) -> bool:
+    def _is_late_claim(self, claim: Claim, shard_claim: ShardClaim) -> bool:
         """Return whether a claim that had timed out has reached the log after all."""
-        is_newer = claim.epoch > holding.epoch
+        is_newer = claim.epoch > shard_claim.epoch
         return self._is_mine(claim) and is_newer and not claim.released
 
     def _adopt_late_claim(
-        self, shard: str, holding: Holding, claim: Claim, now: float
+        self, shard: str, shard_claim: ShardClaim, claim: Claim, now: float
     ) -> list[OwnershipEffect]:
         if self.draining:
-            holding.epoch = claim.epoch
+            shard_claim.epoch = claim.epoch
             return [Append(ClaimReleased(shard, claim.epoch))]
-        self._transition(holding, "claim")
-        return self._tick_claiming(shard, holding, now)
+        self._transition(shard_claim, "claim")
+        return self._tick_claiming(shard, shard_claim, now)
 
     def _preferred_owner(self, shard: str, claim: Claim | None, now: float) -> str:
         alive = self.members.alive(now)
@@ -350,22 +354,22 @@
         return max(live_incarnation, joined) > claim.incarnation
 
     def _tick_claiming(
-        self, shard: str, holding: Holding, now: float
+        self, shard: str, shard_claim: ShardClaim, now: float
     ) -> list[OwnershipEffect]:
         claim = self.ledger.claims.get(shard)
         is_mine = claim is not None and self._is_mine(claim)
-        if claim is not None and is_mine and claim.epoch > holding.epoch:
-            self._transition(holding, "confirmed")
-            holding.epoch = claim.epoch
-            holding.takeover_at = (
+        if claim is not None and is_mine and claim.epoch > shard_claim.epoch:
+            self._transition(shard_claim, "confirmed")
+            shard_claim.epoch = claim.epoch
+            shard_claim.takeover_at = (
                 now
                 if self._have_replaced_holders_stopped(shard)
                 else now + _TAKEOVER_DELAY
             )
-            return self._tick_waiting(shard, holding, now)
-        if now - holding.claimed_at >= CLAIM_RETRY_INTERVAL:
-            self._transition(holding, "lost")
-            holding.retry_at = now
+            return self._tick_waiting(shard, shard_claim, now)
+        if now - shard_claim.claimed_at >= CLAIM_RETRY_INTERVAL:
+            self._transition(shard_claim, "lost")
+            shard_claim.retry_at = now
         return []
 
     def _is_mine(self, claim: Claim) -> bool:
@@ -377,37 +381,39 @@
         )
 
     def _tick_waiting(
-        self, shard: str, holding: Holding, now: float
+        self, shard: str, shard_claim: ShardClaim, now: float
     ) -> list[OwnershipEffect]:
-        if self._is_claim_lost(shard, holding):
-            return self._drop_lost_claim(shard, holding, now)
-        if holding.state == "waiting" and self._have_replaced_holders_stopped(shard):
-            holding.takeover_at = min(holding.takeover_at, now)
-        if holding.state == "waiting" and now >= holding.takeover_at:
-            self._transition(holding, "ready")
-            return [TakeShard(shard, holding.epoch)]
+        if self._is_claim_lost(shard, shard_claim):
+            return self._drop_lost_claim(shard, shard_claim, now)
+        if shard_claim.state == "waiting" and self._have_replaced_holders_stopped(
+            shard
+        ):
+            shard_claim.takeover_at = min(shard_claim.takeover_at, now)
+        if shard_claim.state == "waiting" and now >= shard_claim.takeover_at:
+            self._transition(shard_claim, "ready")
+            return [TakeOverShard(shard, shard_claim.epoch)]
         return []
 
     def _drop_lost_claim(
-        self, shard: str, holding: Holding, now: float
+        self, shard: str, shard_claim: ShardClaim, now: float
     ) -> list[OwnershipEffect]:
-        self._transition(holding, "lost")
-        holding.retry_at = now + LEASE_TIME
+        self._transition(shard_claim, "lost")
+        shard_claim.retry_at = now + LEASE_TIME
         return [DropShard(shard)]
 
     def _tick_owning(
-        self, shard: str, holding: Holding, now: float
+        self, shard: str, shard_claim: ShardClaim, now: float
     ) -> list[OwnershipEffect]:
-        if self._is_claim_lost(shard, holding):
-            return self._drop_lost_claim(shard, holding, now)
+        if self._is_claim_lost(shard, shard_claim):
+            return self._drop_lost_claim(shard, shard_claim, now)
         if self._should_release(shard, now):
-            return self._release_shard(shard, holding)
+            return self._release_shard(shard, shard_claim)
         certain = now < self.lease_until(shard)
-        if not certain and holding.state == "owning":
-            self._transition(holding, "doubt")
+        if not certain and shard_claim.state == "owning":
+            self._transition(shard_claim, "doubt")
             return [SuspendShard(shard)]
-        if certain and holding.state == "suspended":
-            self._transition(holding, "renewed")
+        if certain and shard_claim.state == "suspended":
+            self._transition(shard_claim, "renewed")
             return [ResumeShard(shard)]
         return []
 
@@ -428,19 +434,21 @@
         misplaced_since = self._misplaced_since.setdefault(shard, now)
         return now - misplaced_since >= HANDOVER_DELAY
 
-    def _release_shard(self, shard: str, holding: Holding) -> list[OwnershipEffect]:
-        self._transition(holding, "release")
+    def _release_shard(
+        self, shard: str, shard_claim: ShardClaim
+    ) -> list[OwnershipEffect]:
+        self._transition(shard_claim, "release")
         self._misplaced_since.pop(shard, None)
-        return [ReleaseShard(shard, holding.epoch)]
+        return [ReleaseShard(shard, shard_claim.epoch)]
 
     def _release_removed_shard(self, shard: str) -> list[OwnershipEffect]:
-        holding = self.holdings.pop(shard)
-        if holding.state in ("owning", "suspended", "taking"):
-            return [ReleaseShard(shard, holding.epoch)]
+        shard_claim = self.shard_claims.pop(shard)
+        if shard_claim.state in ("owning", "suspended", "taking"):
+            return [ReleaseShard(shard, shard_claim.epoch)]
         return []
 
-    def _transition(self, holding: Holding, event: str) -> None:
-        holding.state = self._chart.next(holding.state, event)
+    def _transition(self, shard_claim: ShardClaim, event: str) -> None:
+        shard_claim.state = self._chart.next(shard_claim.state, event)
 
 
 # Seconds between the confirmation of a claim and the takeover of the shard, by which
--- a/siskinroad/peers.py
+++ b/siskinroad/peers.py
@@ -16,11 +16,11 @@
 __all__ = [
     "CELL_CODEC",
     "MemoryNetwork",
-    "MemoryPeers",
+    "MemoryTransport",
     "NetworkFaults",
     "PeerTraffic",
-    "Peers",
-    "Reach",
+    "PeerTransport",
+    "Reachability",
 ]
 
 Receiver = Callable[[str, Any], None]
@@ -29,7 +29,7 @@
 CELL_CODEC = messages.CODEC
 
 
-class Reach(StrEnum):
+class Reachability(StrEnum):
     """Result of an attempt to open a new connection to a peer.
 
     ``LISTENS``: the connection was accepted, possibly only by the kernel of the
@@ -68,7 +68,7 @@
         self.sent[kind] = self.sent.get(kind, 0) + size
 
 
-class Peers(ABC):
+class PeerTransport(ABC):
     """Base class of transports that send messages to daemons by name.
 
     Delivery is not guaranteed.
@@ -93,7 +93,7 @@
         """Send a message without blocking; drop it if the peer is unknown."""
 
     @abstractmethod
-    async def probe(self, name: str) -> Reach:
+    async def probe(self, name: str) -> Reachability:
         """Try to open a new connection to a peer and return the result."""
 
     @abstractmethod
@@ -136,21 +136,21 @@
         self.rng = rng
         self.delay = delay
         self.faults = NetworkFaults()
-        self.nodes: dict[str, MemoryPeers] = {}
+        self.nodes: dict[str, MemoryTransport] = {}
         self.paused: dict[str, list[tuple[str, bytes]]] = {}
         # Daemons on hosts without power: their peers get no notice of disconnection.
         self.dark: set[str] = set()
 
-    def join(self, name: str, codec: Codec = CELL_CODEC) -> MemoryPeers:
+    def join(self, name: str, codec: Codec = CELL_CODEC) -> MemoryTransport:
         """Add a daemon, notify the others and return its transport."""
-        self.nodes[name] = MemoryPeers(self, name, codec)
+        self.nodes[name] = MemoryTransport(self, name, codec)
         for node in self.nodes.values():
             if node.connected is not None and (node.name, name) not in self.faults.cut:
                 self._schedule_callback(node, node.connected, name)
         return self.nodes[name]
 
     def _schedule_callback(
-        self, node: MemoryPeers, callback: Callable[[str], None], name: str
+        self, node: MemoryTransport, callback: Callable[[str], None], name: str
     ) -> None:
         """Schedule a node's callback about another daemon after the network delay."""
         if node.name != name and not node.closed:
@@ -193,7 +193,7 @@
             self._deliver(sender, name, data)
 
 
-class MemoryPeers(Peers):
+class MemoryTransport(PeerTransport):
     """One daemon's transport on a ``MemoryNetwork``."""
 
     def __init__(
@@ -212,15 +212,15 @@
         self.traffic.count(msg, len(data))
         self.network.schedule_delivery(self.name, name, data)
 
-    async def probe(self, name: str) -> Reach:
+    async def probe(self, name: str) -> Reachability:
         """Return whether a peer's transport is open; see the base class."""
         await asyncio.sleep(2 * self.network.delay)
         cut = self.network.faults.cut
         node = self.network.nodes.get(name)
         is_cut_off = (self.name, name) in cut or (name, self.name) in cut
         if node is None or is_cut_off or name in self.network.dark:
-            return Reach.SILENT
-        return Reach.REFUSES if node.closed else Reach.LISTENS
+            return Reachability.SILENT
+        return Reachability.REFUSES if node.closed else Reachability.LISTENS
 
     async def close(self) -> None:
         """Stop sending and receiving, and notify the peers."""
--- a/siskinroad/peers_zmq.py
+++ b/siskinroad/peers_zmq.py
@@ -14,10 +14,10 @@
 
 from siskinroad.codec import Codec
 from siskinroad.errors import ProtocolError
-from siskinroad.peers import CELL_CODEC, Peers, Reach
+from siskinroad.peers import CELL_CODEC, PeerTransport, Reachability
 from siskinroad.settings import Peer
 
-__all__ = ["TransportSettings", "ZmqPeers", "new_keys"]
+__all__ = ["TransportSettings", "ZmqTransport", "new_keys"]
 
 ZAP_ENDPOINT = "inproc://zeromq.zap.01"
 ZAP_VERSION = b"1.0"
@@ -72,7 +72,7 @@
     return public.decode(), secret.decode()
 
 
-class ZmqPeers(Peers):
+class ZmqTransport(PeerTransport):
     """Transport that receives on a ROUTER socket and sends on a DEALER per peer.
 
     ZeroMQ's own pings detect dead connections, and ZeroMQ reconnects. Messages lost
@@ -187,22 +187,22 @@
             dealer.disable_monitor()
             dealer.close()
 
-    async def probe(self, name: str) -> Reach:
+    async def probe(self, name: str) -> Reachability:
         """Try to open a TCP connection to a peer; see the base class."""
         peer = self._known_peers.get(name)
         if peer is None:
-            return Reach.SILENT
+            return Reachability.SILENT
         ip, _, port = peer.address.rpartition(":")
         try:
             async with asyncio.timeout(PROBE_TIMEOUT):
                 _, writer = await asyncio.open_connection(ip, int(port))
         except ConnectionRefusedError:
-            return Reach.REFUSES
+            return Reachability.REFUSES
         except (OSError, TimeoutError) as exc:
             log.debug("peers: probe of %s failed: %s", name, exc)
-            return Reach.SILENT
+            return Reachability.SILENT
         writer.close()
-        return Reach.LISTENS
+        return Reachability.LISTENS
 
     def send(self, name: str, msg: Any) -> None:
         """Send a message; see the base class."""
--- a/siskinroad/platform_http.py
+++ b/siskinroad/platform_http.py
@@ -12,7 +12,7 @@
     OutcomeUnknownError,
     PlatformError,
 )
-from siskinroad.http_client import HttpAnswer, HttpPool
+from siskinroad.http_client import ClientResponse, HttpPool
 from siskinroad.platform import HostList, LogPage, Platform
 
 __all__ = ["HttpPlatform"]
@@ -67,7 +67,7 @@
 
     async def _request(
         self, method: str, target: str, body: bytes, step: str
-    ) -> HttpAnswer:
+    ) -> ClientResponse:
         try:
             answer = await self.pool.request(
                 self.address, method, target, body=body, limit=REQUEST_TIMEOUT
@@ -85,7 +85,7 @@
         return answer
 
 
-def _decode_body(answer: HttpAnswer, kind: type[_T], step: str) -> _T:
+def _decode_body(answer: ClientResponse, kind: type[_T], step: str) -> _T:
     try:
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.MsgspecError as exc:
--- a/siskinroad/platform_memory.py
+++ b/siskinroad/platform_memory.py
@@ -9,7 +9,7 @@
 from siskinroad.errors import LogTrimmedError, PlatformError
 from siskinroad.platform import HostList, HostState, ListedHost, LogPage, Platform
 
-__all__ = ["MemoryLog", "MemoryPlatform", "PlatformFaults"]
+__all__ = ["MemoryPlatform", "MemoryPlatformState", "PlatformFaults"]
 
 # Largest record that an append accepts.
 MAX_RECORD_BYTES = 1 << 20
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class MemoryLog:
+class MemoryPlatformState:
     """State shared by all clients of one in-memory platform.
 
     Attributes
@@ -111,17 +111,17 @@
 
 
 class MemoryPlatform(Platform):
-    """One client of a ``MemoryLog``.
+    """One client of a ``MemoryPlatformState``.
 
     Parameters
     ----------
-    log : MemoryLog
+    log : MemoryPlatformState
         The shared state.
     client : str
         Name of this client in ``PlatformFaults.cut``.
     """
 
-    def __init__(self, log: MemoryLog, client: str = "") -> None:
+    def __init__(self, log: MemoryPlatformState, client: str = "") -> None:
         self.log = log
         self.client = client
 
--- a/siskinroad/preemption.py
+++ b/siskinroad/preemption.py
@@ -11,7 +11,7 @@
 from siskinroad.shard import PoolState, Running, Shard
 from siskinroad.upstreams import Control, Usage
 
-__all__ = ["Pressure", "UsageReport"]
+__all__ = ["Preemption", "UsageReport"]
 
 # Fraction of a host's memory in use at which it gets no new work. The same fraction of
 # its processors throttles background work.
@@ -37,7 +37,7 @@
 UsageReport = tuple[str, int, Usage]
 
 
-class Pressure:
+class Preemption:
     """Preemption of running work by checkpoints, throttling and stops."""
 
     def __init__(self, shard: Shard, attempts: Attempts) -> None:
--- a/siskinroad/publisher.py
+++ b/siskinroad/publisher.py
@@ -18,7 +18,7 @@
 from siskinroad.membership import Membership
 from siskinroad.records import Record
 
-__all__ = ["Applied", "Publisher"]
+__all__ = ["ApplyResult", "Publisher"]
 
 # Seconds to wait until the log confirms the append. After that the operator is told
 # that the outcome is unknown, so a smaller value reports this for slow appends.
@@ -30,7 +30,7 @@
 POLL_INTERVAL = 0.1
 
 
-class Applied(msgspec.Struct, frozen=True):
+class ApplyResult(msgspec.Struct, frozen=True):
     """Result of applying a cell file.
 
     Attributes
@@ -81,7 +81,9 @@
         self.append = append
         self.wait_applied = wait_applied
 
-    async def apply(self, text: str, expect: int | None, wait: bool = True) -> Applied:
+    async def apply(
+        self, text: str, expect: int | None, wait: bool = True
+    ) -> ApplyResult:
         """Put a cell file in force.
 
         The call is idempotent: it may be repeated if its reply was lost.
@@ -125,13 +127,13 @@
 
     async def _await_in_force(
         self, revision: int, changed: bool, wait: bool
-    ) -> Applied:
+    ) -> ApplyResult:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + (IN_FORCE_TIMEOUT if wait else 0.0)
         while True:
             current, behind = self._split_by_revision(revision, loop.time())
             if not behind or loop.time() >= deadline:
-                return Applied(revision, changed, sorted(current), sorted(behind))
+                return ApplyResult(revision, changed, sorted(current), sorted(behind))
             await asyncio.sleep(POLL_INTERVAL)
 
     def _split_by_revision(
--- a/siskinroad/request_handler.py
+++ b/siskinroad/request_handler.py
@@ -13,9 +13,9 @@
 from siskinroad.messages import Forward
 from siskinroad.ownership import rendezvous
 from siskinroad.routing import Place, ShardLoad, choose
-from siskinroad.upstreams import Answer
+from siskinroad.upstreams import UpstreamResponse
 
-__all__ = ["Front", "Request", "home_data_centre_of"]
+__all__ = ["Request", "RequestHandler", "home_data_centre_of"]
 
 # Seconds for which a request waits for an owner to become known. A shorter time
 # refuses requests during a takeover.
@@ -54,7 +54,7 @@
     return rendezvous(key, sorted(centres)) if centres else here.data_centre
 
 
-class Front:
+class RequestHandler:
     """Handler of callers' requests: routes each to the owner of a shard.
 
     Parameters
@@ -70,7 +70,7 @@
         name: str,
         place: Place,
         loads: Callable[[], list[ShardLoad]],
-        run_locally: Callable[[str, Request], Awaitable[Answer]],
+        run_locally: Callable[[str, Request], Awaitable[UpstreamResponse]],
         forwarder: Forwarder,
         incarnation: Callable[[str], int],
         rng: random.Random,
@@ -84,7 +84,7 @@
         self.rng = rng
         self.in_progress = 0
 
-    async def serve(self, req: Request, cell: Cell) -> Answer:
+    async def serve(self, req: Request, cell: Cell) -> UpstreamResponse:
         """Return the complete answer to a request.
 
         Raises
@@ -98,7 +98,7 @@
         finally:
             self.in_progress -= 1
 
-    async def _serve(self, req: Request, cell: Cell) -> Answer:
+    async def _serve(self, req: Request, cell: Cell) -> UpstreamResponse:
         loop = asyncio.get_running_loop()
         give_up_at = min(loop.time() + NO_OWNER_TIMEOUT, req.deadline)
         may_have_run = False
@@ -141,7 +141,9 @@
         text = f"no known daemon owns a shard of pool {req.workload.pool}"
         return Refusal(reason, step="route", retry_after=1.0, message=text)
 
-    async def _send_to_owner(self, load: ShardLoad, req: Request, now: float) -> Answer:
+    async def _send_to_owner(
+        self, load: ShardLoad, req: Request, now: float
+    ) -> UpstreamResponse:
         if load.owner == self.name:
             return await self.run_locally(load.shard, req)
         msg = Forward(
--- a/siskinroad/requests.py
+++ b/siskinroad/requests.py
@@ -15,11 +15,11 @@
     Refusal,
     StaleEpochError,
 )
-from siskinroad.host_monitor import WatchedOwner
+from siskinroad.host_monitor import MonitoredOwner
 from siskinroad.queues import Item
-from siskinroad.upstreams import Answer
+from siskinroad.upstreams import UpstreamResponse
 
-__all__ = ["Requests"]
+__all__ = ["RequestTable"]
 
 # Responses with at least this HTTP status count as failed attempts.
 SERVER_ERROR_STATUS = 500
@@ -33,18 +33,18 @@
 class _Request:
     """One request; ``may_have_run`` is set once any attempt may have run."""
 
-    fut: asyncio.Future[Answer]
+    fut: asyncio.Future[UpstreamResponse]
     path: str
     body: bytes
-    answer: Answer | None = None
+    answer: UpstreamResponse | None = None
     sent: bool = False
     may_have_run: bool = False
 
 
-class Requests:
+class RequestTable:
     """Table of the requests queued for one shard or in progress on its hosts."""
 
-    def __init__(self, owner: WatchedOwner) -> None:
+    def __init__(self, owner: MonitoredOwner) -> None:
         self.owner = owner
         self._waiting: dict[str, _Request] = {}
 
@@ -56,7 +56,7 @@
 
     def submit(
         self, key: str, workload: Workload, path: str, body: bytes, deadline: float
-    ) -> asyncio.Future[Answer]:
+    ) -> asyncio.Future[UpstreamResponse]:
         """Queue a caller's request.
 
         Returns
@@ -66,7 +66,9 @@
         """
         owner = self.owner
         now = owner.now()
-        fut: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
+        fut: asyncio.Future[UpstreamResponse] = (
+            asyncio.get_running_loop().create_future()
+        )
         if owner.closed:
             fut.set_exception(_no_owner_refusal())
             return fut
@@ -103,7 +105,7 @@
 
     async def _send_once(self, effect: StartTask, req: _Request) -> End:
         owner = self.owner
-        host = owner.watches[effect.hosts[0]].host
+        host = owner.monitors[effect.hosts[0]].host
         limit = effect.item.workload.timeout
         try:
             if not owner.ports.may_place():
@@ -141,7 +143,7 @@
         else:
             self.answer(key, answer)
 
-    def answer(self, key: str, result: Answer | Refusal) -> None:
+    def answer(self, key: str, result: UpstreamResponse | Refusal) -> None:
         """Complete a request exactly once.
 
         A refusal says that the outcome is unknown if any attempt may have run.
--- a/siskinroad/scheduler.py
+++ b/siskinroad/scheduler.py
@@ -18,7 +18,7 @@
 from siskinroad.health import Verdict
 from siskinroad.names import AttemptName, split_task
 from siskinroad.placement import HostView
-from siskinroad.preemption import Pressure, UsageReport
+from siskinroad.preemption import Preemption, UsageReport
 from siskinroad.queues import Item, Lane
 from siskinroad.shard import Shard, milliseconds
 from siskinroad.upstreams import Control, Usage
@@ -54,7 +54,7 @@
         self.shard = Shard(cell, rng, now)
         self.attempts = Attempts(self.shard)
         self.dispatcher = Dispatcher(self.shard, self.attempts)
-        self.pressure = Pressure(self.shard, self.attempts)
+        self.preemption = Preemption(self.shard, self.attempts)
         self.paused = False
         self._chart = load_chart("attempt")
         self._host_chart = load_chart("upstream")
@@ -144,7 +144,7 @@
             return effects
         state.headroom.count_arrival(now)
         if item.state == "waiting" and not self.paused:
-            effects += self.pressure.preempt_for_urgent(state)
+            effects += self.preemption.preempt_for_urgent(state)
         return effects
 
     def _admission_refusal(self, item: Item, now: float) -> Refusal | None:
@@ -157,7 +157,9 @@
         lane = self.shard.waiting.lane(workload)
         if lane.live >= workload.queue_limit:
             return Refusal(Reason.QUEUE_FULL, step="submit", retry_after=1.0)
-        if not self.shard.door.admits(len(self.shard.items), workload.urgency):
+        if not self.shard.admission_limit.admits(
+            len(self.shard.items), workload.urgency
+        ):
             return Refusal(Reason.SHED, step="submit", retry_after=5.0)
         wait = lane.expected_wait(now)
         if now + wait > item.deadline:
@@ -249,7 +251,7 @@
 
     def usage(self, host: str, reports: list[UsageReport], now: float) -> list[Effect]:
         """Process a host's usage report, which lags behind the actual usage."""
-        effects = self.pressure.usage(host, reports)
+        effects = self.preemption.usage(host, reports)
         view = self.shard.view(host)
         return effects + (self._use_free_capacity(view, now) if view else [])
 
@@ -273,8 +275,8 @@
     def _preempt(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
         for state in self.shard.pools.values():
-            effects += self.pressure.preempt_for_urgent(state)
-        return effects + self.pressure.reclaim_shares(now)
+            effects += self.preemption.preempt_for_urgent(state)
+        return effects + self.preemption.reclaim_shares(now)
 
     def next_time(self) -> float:
         """Return the loop time of the next deadline or end of a backoff."""
--- a/siskinroad/shard.py
+++ b/siskinroad/shard.py
@@ -12,7 +12,7 @@
 from siskinroad.estimates import Estimates
 from siskinroad.gangs import Reservation
 from siskinroad.health import Health
-from siskinroad.limits import ConcurrencyLimit, Door, Headroom
+from siskinroad.limits import AdmissionLimit, ConcurrencyLimit, Headroom
 from siskinroad.placement import HostIndex, HostView
 from siskinroad.queues import Item, Lane, WaitingWork
 from siskinroad.resources import NOTHING, Resources
@@ -114,7 +114,7 @@
         self.health = Health()
         self.shares = Shares()
         self.accounts = Accounts(cell.owners, milliseconds(now))
-        self.door = Door()
+        self.admission_limit = AdmissionLimit()
         self.items: dict[str, Item] = {}
         self.running: dict[str, Running] = {}
         self.limits: dict[str, ConcurrencyLimit] = {}
--- a/siskinroad/shards.py
+++ b/siskinroad/shards.py
@@ -11,9 +11,9 @@
 from siskinroad.appender import Appender
 from siskinroad.cell import Cell, Host, Workload
 from siskinroad.errors import Reason, Refusal
-from siskinroad.idempotency import KeyGuard
+from siskinroad.idempotency import IdempotencyGuard
 from siskinroad.ledger import Ledger
-from siskinroad.messages import ShardNews
+from siskinroad.messages import ShardUpdate
 from siskinroad.metrics import Metrics
 from siskinroad.owner import ShardOwner
 from siskinroad.owner_context import OwnerPorts
@@ -25,7 +25,7 @@
     ReleaseShard,
     ResumeShard,
     SuspendShard,
-    TakeShard,
+    TakeOverShard,
 )
 from siskinroad.platform import HostState
 from siskinroad.records import (
@@ -37,9 +37,9 @@
 )
 from siskinroad.request_handler import Request
 from siskinroad.routing import Place, ShardLoad
-from siskinroad.upstreams import Answer, Upstreams
+from siskinroad.upstreams import UpstreamClient, UpstreamResponse
 
-__all__ = ["ShardSet"]
+__all__ = ["OwnedShards"]
 
 # Seconds after which the append of a claim record fails; the record may be stored
 # nevertheless.
@@ -50,14 +50,14 @@
 log = logging.getLogger("siskinroad.shards")
 
 
-class ShardSet:
+class OwnedShards:
     """Owners of the shards, kept in line with the decisions of ``Ownership``.
 
     Parameters
     ----------
     appender : Appender
         Appender of the data centre's log stream.
-    guard : KeyGuard
+    guard : IdempotencyGuard
         Idempotency guard that runs requests with a key.
     """
 
@@ -67,8 +67,8 @@
         ownership: Ownership,
         ledger: Ledger,
         appender: Appender,
-        guard: KeyGuard,
-        upstreams: Upstreams,
+        guard: IdempotencyGuard,
+        upstreams: UpstreamClient,
         metrics: Metrics,
         rng: random.Random,
     ) -> None:
@@ -126,7 +126,7 @@
             self._apply_list(owner)
 
     def _apply_list(self, owner: ShardOwner) -> None:
-        for name in owner.watches:
+        for name in owner.monitors:
             match self.listed.get(name):
                 case HostState.LEAVING:
                     owner.host_event(name, "leave")
@@ -168,7 +168,7 @@
         match effect:
             case Append(record=record):
                 self.appender.put(record, CLAIM_APPEND_TIMEOUT)
-            case TakeShard():
+            case TakeOverShard():
                 self._spawn(self._take_over(effect))
             case SuspendShard(shard=shard):
                 self._count("suspend")
@@ -188,7 +188,7 @@
     def _count(self, event: str) -> None:
         self.metrics.claims.labels(event).inc()
 
-    async def _take_over(self, effect: TakeShard) -> None:
+    async def _take_over(self, effect: TakeOverShard) -> None:
         shard = effect.shard
         hosts = self._hosts.get(shard)
         if self.cell is None or hosts is None:
@@ -260,7 +260,7 @@
 
     # Requests
 
-    async def run(self, shard: str, req: Request) -> Answer:
+    async def run(self, shard: str, req: Request) -> UpstreamResponse:
         """Run a caller's request on an owned shard.
 
         Raises
@@ -281,7 +281,9 @@
             )
         return await self._submit_request(owner, req)
 
-    async def _submit_request(self, owner: ShardOwner, req: Request) -> Answer:
+    async def _submit_request(
+        self, owner: ShardOwner, req: Request
+    ) -> UpstreamResponse:
         key = f"r{self.appender.writer}-{self._next_sequence()}"
         fut = owner.requests.submit(key, req.workload, req.path, req.body, req.deadline)
         try:
@@ -296,10 +298,10 @@
 
     # Updates for peers and routing
 
-    def news(self) -> list[ShardNews]:
+    def news(self) -> list[ShardUpdate]:
         """Return an update for peers on each owned shard that accepts work."""
         return [
-            ShardNews(shard, owner.epoch, owner.free_slots(), owner.waits())
+            ShardUpdate(shard, owner.epoch, owner.free_slots(), owner.waits())
             for shard, owner in self.owners.items()
             if not owner.scheduler.paused
         ]
--- a/siskinroad/snapshots.py
+++ b/siskinroad/snapshots.py
@@ -12,7 +12,7 @@
 from siskinroad.errors import ProtocolError
 from siskinroad.records import SnapshotPart
 
-__all__ = ["PART_BYTES", "Assembler", "checksum", "split"]
+__all__ = ["PART_BYTES", "SnapshotAssembler", "checksum", "split_snapshot"]
 
 # Most bytes of snapshot data in one record.
 PART_BYTES = 192 * 1024
@@ -23,7 +23,7 @@
     return hashlib.blake2b(data, digest_size=16).hexdigest()
 
 
-def split(name: str, as_of: int, data: bytes) -> Iterator[SnapshotPart]:
+def split_snapshot(name: str, as_of: int, data: bytes) -> Iterator[SnapshotPart]:
     """Split a snapshot into records.
 
     Parameters
@@ -42,7 +42,7 @@
         yield SnapshotPart(name, as_of, part, parts, digest, chunk)
 
 
-class Assembler:
+class SnapshotAssembler:
     """Reassembler of snapshots; a new snapshot discards an incomplete one."""
 
     def __init__(self) -> None:
--- a/siskinroad/snapshotter.py
+++ b/siskinroad/snapshotter.py
@@ -10,9 +10,9 @@
 import logging
 
 from siskinroad.appender import Appender
-from siskinroad.daemon_context import DaemonView
+from siskinroad.daemon_context import DaemonContext
 from siskinroad.errors import PlatformError
-from siskinroad.snapshots import split
+from siskinroad.snapshots import split_snapshot
 
 __all__ = ["SNAPSHOT_MAX_AGE", "SNAPSHOT_MAX_APPENDS", "Snapshotter"]
 
@@ -40,7 +40,7 @@
     finds the last one due. Two at once are harmless.
     """
 
-    def __init__(self, daemon: DaemonView) -> None:
+    def __init__(self, daemon: DaemonContext) -> None:
         self.daemon = daemon
         self.written = 0
         self._last_request_at = float("-inf")
@@ -54,7 +54,7 @@
         while True:
             await asyncio.sleep(CHECK_INTERVAL)
             if not self.daemon.ledger.whole:
-                self.daemon.beats.want_snapshot()
+                self.daemon.periodic.want_snapshot()
             if self.daemon.members.reader(loop.time()) == self.daemon.cfg.name:
                 await self._write_due(loop.time())
 
@@ -99,7 +99,7 @@
         self.written += 1
         name = f"{daemon.cfg.name}-{daemon.incarnation}-{self.written}"
         try:
-            for part in split(name, as_of, data):
+            for part in split_snapshot(name, as_of, data):
                 await appender.put(part, APPEND_TIMEOUT)
         except PlatformError as exc:
             log.warning("snapshots: snapshot not appended: %s", exc)
--- a/siskinroad/stand_in_servers.py
+++ b/siskinroad/stand_in_servers.py
@@ -12,21 +12,21 @@
     StaleEpochError,
 )
 from siskinroad.httpd import HttpRequest, HttpResponse, HttpServer
-from siskinroad.platform_memory import MemoryLog, MemoryPlatform
+from siskinroad.platform_memory import MemoryPlatform, MemoryPlatformState
 from siskinroad.upstreams import Control, TaskStart
 from siskinroad.upstreams_http import ATTEMPT_HEADER, EPOCH_HEADER, InventoryQuery
-from siskinroad.upstreams_memory import MemoryUpstreams, MemoryWorker
+from siskinroad.upstreams_memory import MemoryHost, MemoryUpstreamClient
 
-__all__ = ["PlatformServer", "WorkerServer"]
+__all__ = ["HostServer", "PlatformServer"]
 
 # Seconds; long enough that the caller's own time limit ends a request first.
 REQUEST_TIMEOUT = 3600.0
 
 
 class PlatformServer:
-    """HTTP server for the platform of a ``MemoryLog``."""
+    """HTTP server for the platform of a ``MemoryPlatformState``."""
 
-    def __init__(self, log: MemoryLog) -> None:
+    def __init__(self, log: MemoryPlatformState) -> None:
         self.log = log
         self.platform = MemoryPlatform(log)
         self.http = HttpServer(self.handle)
@@ -57,13 +57,13 @@
         return HttpResponse(404)
 
 
-class WorkerServer:
-    """HTTP server for one ``MemoryWorker``."""
+class HostServer:
+    """HTTP server for one ``MemoryHost``."""
 
-    def __init__(self, memory_host: MemoryWorker, host: Host) -> None:
+    def __init__(self, memory_host: MemoryHost, host: Host) -> None:
         self.memory_host = memory_host
         self.host = host
-        self.memory = MemoryUpstreams({host.name: memory_host}, delay=0.0)
+        self.memory = MemoryUpstreamClient({host.name: memory_host}, delay=0.0)
         self.http = HttpServer(self.handle)
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
--- a/siskinroad/status.py
+++ b/siskinroad/status.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from siskinroad.accounts import Accounts, OwnerSpan
-from siskinroad.daemon_context import DaemonView
+from siskinroad.daemon_context import DaemonContext
 from siskinroad.dispatch import blocked_reason
 from siskinroad.owner import ShardOwner
 from siskinroad.queues import Item
@@ -97,13 +97,13 @@
     return asyncio.get_running_loop().time()
 
 
-def status_of(daemon: DaemonView) -> DaemonStatus:
+def status_of(daemon: DaemonContext) -> DaemonStatus:
     """Return the status of a daemon."""
     now = _loop_time()
     stop_reasons = [
-        s.stop_reason for s in daemon.feed.streams.values() if s.stop_reason
+        s.stop_reason for s in daemon.log_reader.streams.values() if s.stop_reason
     ]
-    log = "up" if daemon.feed.is_reachable(now) else "unreachable"
+    log = "up" if daemon.log_reader.is_reachable(now) else "unreachable"
     shards = [_shard_status(daemon, shard) for shard in sorted(daemon.ownership.shards)]
     return DaemonStatus(
         daemon.cfg.name,
@@ -122,10 +122,10 @@
     )
 
 
-def _shard_status(daemon: DaemonView, shard: str) -> ShardStatus:
+def _shard_status(daemon: DaemonContext, shard: str) -> ShardStatus:
     owner = daemon.shards.owners.get(shard)
     claim = daemon.ledger.claims.get(shard)
-    holding = daemon.ownership.holdings.get(shard)
+    shard_claim = daemon.ownership.shard_claims.get(shard)
     held = claim is not None and not claim.released
     name = claim.daemon if claim is not None and held else ""
     hosts: dict[str, int] = {}
@@ -136,7 +136,7 @@
     return ShardStatus(
         shard,
         name,
-        holding.state if holding else "idle",
+        shard_claim.state if shard_claim else "idle",
         owner.epoch,
         len(owner.scheduler.shard.waiting),
         len(owner.scheduler.shard.running),
@@ -144,7 +144,7 @@
     )
 
 
-def queue_of(daemon: DaemonView) -> list[QueueLine]:
+def queue_of(daemon: DaemonContext) -> list[QueueLine]:
     """Return the workloads that have waiting work at this daemon's shards."""
     lines = []
     for shard, owner in sorted(daemon.shards.owners.items()):
@@ -171,7 +171,7 @@
     )
 
 
-def explain(daemon: DaemonView, key: str) -> str:
+def explain(daemon: DaemonContext, key: str) -> str:
     """Explain in one sentence why a task waits, where it runs or how it ended.
 
     Parameters
@@ -217,7 +217,7 @@
     return f"{key} has waited {waited:.1f} s: {why}."
 
 
-def report_of(daemon: DaemonView) -> Report:
+def report_of(daemon: DaemonContext) -> Report:
     """Return used and idle capacity of the shards that this daemon owns."""
     totals: dict[str, OwnerSpan] = {}
     capacity = [0, 0, 0]
--- a/siskinroad/suspend_detector.py
+++ b/siskinroad/suspend_detector.py
@@ -4,14 +4,14 @@
 
 import time
 
-__all__ = ["SuspendWatch"]
+__all__ = ["SuspendDetector"]
 
 # Seconds by which the two clocks may drift apart without a suspension; a smaller value
 # would report drift as one.
 CLOCK_TOLERANCE_S = 0.2
 
 
-class SuspendWatch:
+class SuspendDetector:
     """Detector that compares a clock stopped by suspension with one that is not."""
 
     def __init__(self) -> None:
--- a/siskinroad/tasks.py
+++ b/siskinroad/tasks.py
@@ -11,7 +11,7 @@
 
 from siskinroad.effects import End, StartTask
 from siskinroad.errors import NotSentError, OutcomeUnknownError, StaleEpochError
-from siskinroad.host_monitor import TASK_LEASE, HostWatch, WatchedOwner
+from siskinroad.host_monitor import TASK_LEASE_S, HostMonitor, MonitoredOwner
 from siskinroad.ledger import JobState
 from siskinroad.names import AttemptName, attempt_name, job_of, task_name
 from siskinroad.queues import Item
@@ -19,9 +19,9 @@
 from siskinroad.scheduler import TICK_TIME
 from siskinroad.upstreams import TaskStart
 
-__all__ = ["Tasks"]
+__all__ = ["TaskTable"]
 
-# Seconds beyond ``TASK_LEASE`` to wait for silent hosts after a takeover. Without
+# Seconds beyond ``TASK_LEASE_S`` to wait for silent hosts after a takeover. Without
 # a margin, a task could be started again while its host still runs it.
 SILENT_HOST_MARGIN = 1.0
 # Stored outcome by the end of an attempt; every other end is stored as "failed".
@@ -52,14 +52,14 @@
     unrecorded_count: int = 0
 
 
-class Tasks:
+class TaskTable:
     """Table of the unsettled jobs of one shard and their tasks."""
 
-    def __init__(self, owner: WatchedOwner) -> None:
+    def __init__(self, owner: MonitoredOwner) -> None:
         self.owner = owner
         self.jobs: dict[str, _Job] = {}
         self._unrecorded: set[str] = set()
-        self._unacked: dict[str, list[tuple[HostWatch, str]]] = {}
+        self._unacked: dict[str, list[tuple[HostMonitor, str]]] = {}
 
     # Jobs
 
@@ -111,9 +111,11 @@
         since a silent host may still run a task.
         """
         owner = self.owner
-        silent = [watch for watch in owner.watches.values() if not watch.answered]
+        silent = [
+            monitor for monitor in owner.monitors.values() if not monitor.answered
+        ]
         if silent:
-            wait = TASK_LEASE + SILENT_HOST_MARGIN
+            wait = TASK_LEASE_S + SILENT_HOST_MARGIN
             log.info(
                 "tasks: shard %s waits up to %.0f s for %d silent hosts",
                 owner.shard,
@@ -127,11 +129,11 @@
         for job in list(self.jobs.values()):
             self._queue_job(job)
 
-    async def _queue_after_wait(self, silent: list[HostWatch], until: float) -> None:
+    async def _queue_after_wait(self, silent: list[HostMonitor], until: float) -> None:
         while self.owner.now() < until and any(not w.is_accounted_for for w in silent):
             await asyncio.sleep(TICK_TIME)
-        for watch in silent:
-            watch.answered = True
+        for monitor in silent:
+            monitor.answered = True
         self.queue_missing()
 
     def cancel(self, name: str) -> None:
@@ -170,12 +172,12 @@
         """Start one member of a task or gang on its host."""
         owner = self.owner
         key = effect.item.key
-        watch = owner.watches[effect.hosts[member]]
+        monitor = owner.monitors[effect.hosts[member]]
         start = _make_task_start(effect, member)
         try:
             if not owner.ports.is_certain():
                 raise NotSentError("ownership of the shard is uncertain", step="owner")
-            await owner.ports.upstreams.start(watch.host, owner.epoch, start)
+            await owner.ports.upstreams.start(monitor.host, owner.epoch, start)
             owner.scheduler.started(key)
         except NotSentError:
             self._not_started(key, member)
@@ -185,8 +187,8 @@
         except OutcomeUnknownError:
             owner.ports.count_event("retry", "start_unknown")
         finally:
-            watch.starting.discard(start.attempt)
-            watch.last_start_ended_at = owner.now()
+            monitor.starting.discard(start.attempt)
+            monitor.last_start_ended_at = owner.now()
 
     def _not_started(self, key: str, member: int) -> None:
         owner = self.owner
@@ -223,21 +225,21 @@
         job = self.jobs.get(name)
         return job.ended if job is not None else {}
 
-    def acknowledge(self, key: str, watch: HostWatch, attempt: str) -> None:
+    def acknowledge(self, key: str, monitor: HostMonitor, attempt: str) -> None:
         """Acknowledge an ended attempt to its host once nothing depends on it.
 
         The host keeps the attempt in its inventory until the end of the whole
         task or gang is stored, or until it is queued for another attempt.
         """
-        self._unacked.setdefault(key, []).append((watch, attempt))
+        self._unacked.setdefault(key, []).append((monitor, attempt))
         running = key in self.owner.scheduler.shard.running
         if not running and key not in self._unrecorded:
             self._acknowledge_all(key)
 
     def _acknowledge_all(self, key: str) -> None:
-        for watch, attempt in self._unacked.pop(key, []):
-            watch.unrecorded.discard(attempt)
-            watch.acked.append(attempt)
+        for monitor, attempt in self._unacked.pop(key, []):
+            monitor.unrecorded.discard(attempt)
+            monitor.acked.append(attempt)
 
 
 def _make_task_start(effect: StartTask, member: int) -> TaskStart:
@@ -251,5 +253,5 @@
         need.memory_mib,
         need.accelerators,
         item.payload,
-        TASK_LEASE,
+        TASK_LEASE_S,
     )
--- a/siskinroad/upstreams.py
+++ b/siskinroad/upstreams.py
@@ -10,13 +10,13 @@
 from siskinroad.cell import Host
 
 __all__ = [
-    "Answer",
     "Control",
     "Inventory",
     "TaskReport",
     "TaskStart",
     "TaskState",
-    "Upstreams",
+    "UpstreamClient",
+    "UpstreamResponse",
     "Usage",
 ]
 
@@ -83,7 +83,7 @@
     leaving: bool = False
 
 
-class Answer(msgspec.Struct, frozen=True):
+class UpstreamResponse(msgspec.Struct, frozen=True):
     """Complete response of an upstream to one request."""
 
     status: int
@@ -91,7 +91,7 @@
     content_type: str = "application/octet-stream"
 
 
-class Upstreams(ABC):
+class UpstreamClient(ABC):
     """Base class of an owner's clients of upstream hosts.
 
     Every method may raise ``NotSentError`` (nothing reached the host),
@@ -102,7 +102,7 @@
     @abstractmethod
     async def request(
         self, host: Host, attempt: str, epoch: int, path: str, body: bytes, limit: float
-    ) -> Answer:
+    ) -> UpstreamResponse:
         """Send one request and return its response within ``limit`` seconds."""
 
     @abstractmethod
--- a/siskinroad/upstreams_http.py
+++ b/siskinroad/upstreams_http.py
@@ -11,14 +11,20 @@
     Refusal,
     StaleEpochError,
 )
-from siskinroad.http_client import HttpAnswer, HttpPool
-from siskinroad.upstreams import Answer, Control, Inventory, TaskStart, Upstreams
+from siskinroad.http_client import ClientResponse, HttpPool
+from siskinroad.upstreams import (
+    Control,
+    Inventory,
+    TaskStart,
+    UpstreamClient,
+    UpstreamResponse,
+)
 
 __all__ = [
     "ATTEMPT_HEADER",
     "EPOCH_HEADER",
     "OUTCOME_HEADER",
-    "HttpUpstreams",
+    "HttpUpstreamClient",
     "InventoryQuery",
 ]
 
@@ -42,7 +48,7 @@
     renew: bool
 
 
-class HttpUpstreams(Upstreams):
+class HttpUpstreamClient(UpstreamClient):
     """Client of all upstream hosts of the cell."""
 
     def __init__(self) -> None:
@@ -50,7 +56,7 @@
 
     async def request(
         self, host: Host, attempt: str, epoch: int, path: str, body: bytes, limit: float
-    ) -> Answer:
+    ) -> UpstreamResponse:
         """Send one request; see the base class."""
         answer = await self._send_request(
             host, epoch, "POST", path, body, limit, attempt
@@ -65,7 +71,7 @@
                 peer=host.name,
             )
         kind = answer.headers.get("content-type", "application/octet-stream")
-        return Answer(answer.status, answer.body, kind)
+        return UpstreamResponse(answer.status, answer.body, kind)
 
     async def start(self, host: Host, epoch: int, start: TaskStart) -> None:
         """Start a task; see the base class."""
@@ -114,7 +120,7 @@
         body: bytes,
         limit: float,
         attempt: str = "",
-    ) -> HttpAnswer:
+    ) -> ClientResponse:
         headers = [(EPOCH_HEADER, str(epoch))]
         if attempt:
             headers.append((ATTEMPT_HEADER, attempt))
@@ -135,7 +141,7 @@
         return answer
 
 
-def _expect_ok(answer: HttpAnswer, host: Host) -> None:
+def _expect_ok(answer: ClientResponse, host: Host) -> None:
     if answer.status != STATUS_OK:
         raise OutcomeUnknownError(
             f"expected status 200, got {answer.status}",
--- a/siskinroad/upstreams_memory.py
+++ b/siskinroad/upstreams_memory.py
@@ -12,17 +12,17 @@
 from siskinroad.errors import NotSentError, OutcomeUnknownError, StaleEpochError
 from siskinroad.resources import Resources
 from siskinroad.upstreams import (
-    Answer,
     Control,
     Inventory,
     TaskReport,
     TaskStart,
     TaskState,
-    Upstreams,
+    UpstreamClient,
+    UpstreamResponse,
     Usage,
 )
 
-__all__ = ["Event", "HostFaults", "MemoryUpstreams", "MemoryWorker"]
+__all__ = ["HostEvent", "HostFaults", "MemoryHost", "MemoryUpstreamClient"]
 
 # Longest interval, in seconds, between two checks for due tasks and expired leases
 # while an inventory call waits.
@@ -52,7 +52,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Event:
+class HostEvent:
     """Start or end of a task or request on a host.
 
     ``kind`` is ``start`` or ``end:STATE``. ``body`` is the body of a request, and empty
@@ -85,7 +85,7 @@
 
 
 @dataclass(slots=True)
-class MemoryWorker:
+class MemoryHost:
     """One in-memory host.
 
     Attributes
@@ -96,7 +96,7 @@
         Returns the seconds that a task or request of a workload takes.
     demand : callable
         Returns the resources that a request of a workload uses.
-    events : list of Event
+    events : list of HostEvent
         Starts and ends of all tasks and requests, for checks of the invariants.
     sequence : iterator of int
         Source of event numbers; hosts may share one.
@@ -109,7 +109,7 @@
     duration: DurationSampler = lambda workload, rng: 1.0
     demand: DemandFunction = lambda workload: Resources(0, 0, 0, 1)
     faults: HostFaults = field(default_factory=HostFaults)
-    events: list[Event] = field(default_factory=list)
+    events: list[HostEvent] = field(default_factory=list)
     sequence: Iterator[int] = field(default_factory=itertools.count)
     epoch: int = 0
     requests: int = 0
@@ -137,7 +137,7 @@
         """Append one event to the record."""
         number = next(self.sequence)
         self.events.append(
-            Event(now, self.name, kind, task, attempt, used, body, number)
+            HostEvent(now, self.name, kind, task, attempt, used, body, number)
         )
 
     def start_task(self, start: TaskStart, now: float) -> None:
@@ -197,7 +197,7 @@
         self.tasks.clear()
 
 
-class MemoryUpstreams(Upstreams):
+class MemoryUpstreamClient(UpstreamClient):
     """Client of in-memory hosts in the same process.
 
     Parameters
@@ -219,7 +219,7 @@
 
     def __init__(
         self,
-        memory_hosts: dict[str, MemoryWorker],
+        memory_hosts: dict[str, MemoryHost],
         client: str = "",
         cut: set[tuple[str, str]] | None = None,
         delay: float = 0.0005,
@@ -232,7 +232,7 @@
 
     async def request(
         self, host: Host, attempt: str, epoch: int, path: str, body: bytes, limit: float
-    ) -> Answer:
+    ) -> UpstreamResponse:
         """Run a request; see the base class."""
         async with _OutcomeUnknownAfter(limit, host):
             memory_host = await self._deliver_call(host)
@@ -253,7 +253,11 @@
                     "end:done", task, attempt, used, loop.time(), body
                 )
             await self._deliver_reply(memory_host, host)
-            return Answer(500, b"failed") if failing else Answer(200, body)
+            return (
+                UpstreamResponse(500, b"failed")
+                if failing
+                else UpstreamResponse(200, body)
+            )
 
     async def start(self, host: Host, epoch: int, start: TaskStart) -> None:
         """Start a task; see the base class."""
@@ -293,12 +297,12 @@
             tasks = memory_host.report_tasks(loop.time())
             return Inventory(tasks, memory_host.requests, memory_host.leaving)
 
-    def _renew_leases(self, memory_host: MemoryWorker, now: float) -> None:
+    def _renew_leases(self, memory_host: MemoryHost, now: float) -> None:
         for task in memory_host.tasks.values():
             task.lease_expires_at = now + task.start.lease
 
     async def _wait_for_task_end(
-        self, memory_host: MemoryWorker, deadline: float
+        self, memory_host: MemoryHost, deadline: float
     ) -> None:
         loop = asyncio.get_running_loop()
         while loop.time() < deadline and not memory_host.faults.down:
@@ -316,7 +320,7 @@
                 pass
             memory_host.end_due_tasks(loop.time())
 
-    async def _deliver_call(self, host: Host) -> MemoryWorker:
+    async def _deliver_call(self, host: Host) -> MemoryHost:
         memory_host = self.memory_hosts.get(host.name)
         await asyncio.sleep(self.delay)
         if self.held is not None:
@@ -327,7 +331,7 @@
             await asyncio.Event().wait()
         return memory_host
 
-    async def _deliver_reply(self, memory_host: MemoryWorker, host: Host) -> None:
+    async def _deliver_reply(self, memory_host: MemoryHost, host: Host) -> None:
         await asyncio.sleep(self.delay)
         if memory_host.faults.down:
             raise OutcomeUnknownError("reset", step="worker", peer=host.name)
@@ -356,7 +360,7 @@
 
 
 def _apply_control(
-    memory_host: MemoryWorker, task: _Task, do: Control, now: float
+    memory_host: MemoryHost, task: _Task, do: Control, now: float
 ) -> None:
     match do:
         case Control.STOP:
--- a/siskinroad/work/calls.py
+++ b/siskinroad/work/calls.py
@@ -8,7 +8,7 @@
 from typing import TypeVar
 
 from siskinroad.errors import OutcomeUnknownError
-from siskinroad.peers import Peers
+from siskinroad.peers import PeerTransport
 from siskinroad.work.messages import Message
 
 __all__ = ["Calls"]
@@ -25,14 +25,14 @@
 
     Parameters
     ----------
-    peers : Peers
+    peers : PeerTransport
         Connections to the other daemons.
     first_id : int
         First request number. It differs between the incarnations of a daemon, so that
         a late reply to an earlier incarnation is not matched to a request of this one.
     """
 
-    def __init__(self, peers: Peers, first_id: int) -> None:
+    def __init__(self, peers: PeerTransport, first_id: int) -> None:
         self._peers = peers
         self._request_ids = itertools.count(first_id)
         self._pending: dict[int, asyncio.Future[Message]] = {}
--- a/siskinroad/work/claims.py
+++ b/siskinroad/work/claims.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 
 from siskinroad.errors import SiskinroadError
-from siskinroad.peers import Peers, Reach
+from siskinroad.peers import PeerTransport, Reachability
 from siskinroad.work.claim import claim_pool
 from siskinroad.work.members import Members
 from siskinroad.work.model import HostEntry, Setup
@@ -80,7 +80,7 @@
         self,
         member: Member,
         members: Members,
-        peers: Peers,
+        peers: PeerTransport,
         store: RelayStore,
         parts: OwnerParts,
         hosts: dict[str, HostEntry],
@@ -184,7 +184,7 @@
         heard = self._members.heard.get(owner.node)
         if heard is not None and heard.beat.leaving:
             return False
-        return await self._peers.probe(owner.node) is Reach.LISTENS
+        return await self._peers.probe(owner.node) is Reachability.LISTENS
 
     async def _own_pool(self, pool: str) -> None:
         """Claim a pool and own it until another daemon takes it over."""
--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from siskinroad.errors import SiskinroadError
-from siskinroad.peers import Peers, Reach
+from siskinroad.peers import PeerTransport, Reachability
 from siskinroad.resources import Resources
-from siskinroad.suspend_detector import SuspendWatch
+from siskinroad.suspend_detector import SuspendDetector
 from siskinroad.work.calls import Calls
 from siskinroad.work.claims import Claims
 from siskinroad.work.desk import Desk
@@ -67,7 +67,7 @@
     ----------
     member : Member
         This daemon's name, its incarnation and its address for peers.
-    peers : Peers
+    peers : PeerTransport
         Connections to the other daemons.
     register_address : callable
         Gives the connection layer the address of a member.
@@ -79,7 +79,7 @@
         self,
         member: Member,
         outside: Outside,
-        peers: Peers,
+        peers: PeerTransport,
         register_address: Callable[[Member], None],
         timing: Timing,
         wall: Callable[[], float],
@@ -93,7 +93,7 @@
         self.hosts: dict[str, HostEntry] = {}
         self._register_address = register_address
         self._tasks: list[asyncio.Task[None]] = []
-        self._suspend_detector = SuspendWatch()
+        self._suspend_detector = SuspendDetector()
         self._background_tasks: set[asyncio.Task[None]] = set()
         now = asyncio.get_running_loop().time
         self.calls = Calls(peers, member.incarnation << 20)
@@ -427,7 +427,7 @@
     async def _check_peer(self, peer: str) -> None:
         heard = self.members.heard.get(peer)
         reach = await self.peers.probe(peer)
-        if reach is not Reach.REFUSES or self.members.heard.get(peer) != heard:
+        if reach is not Reachability.REFUSES or self.members.heard.get(peer) != heard:
             return
         now = asyncio.get_running_loop().time()
         owned = heard.beat.owned if heard is not None else ()
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -7,7 +7,7 @@
 from siskinroad.deltas import apply_delta, make_delta
 from siskinroad.errors import ConfigError, ProtocolError
 from siskinroad.records import decode_batch, encode_batch
-from siskinroad.snapshots import split
+from siskinroad.snapshots import split_snapshot
 
 TEXTS = st.lists(st.sampled_from(["a\n", "b\n", "c", ""]), max_size=8).map("".join)
 
@@ -47,7 +47,7 @@
         config.apply(1, [config.successor(_cell_text(1), "k1")])
     new.apply(2, [new.successor(_cell_text(2), "k2")])
     assert not new.adopt(old.whole())
-    assert not new.apply(3, list(split("s", 2, old.encode())))
+    assert not new.apply(3, list(split_snapshot("s", 2, old.encode())))
     assert new.revision == 2
     assert old.adopt(new.whole())
     assert old.text == _cell_text(2)
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -16,9 +16,9 @@
 from siskinroad.entry import Daemon
 from siskinroad.errors import Outcome, Refusal
 from siskinroad.forwarding import Forwarder
-from siskinroad.idempotency import KeyGuard
+from siskinroad.idempotency import IdempotencyGuard
 from siskinroad.placement import HostIndex
-from siskinroad.shards import ShardSet
+from siskinroad.shards import OwnedShards
 
 # Faults that do nothing beside another fault.
 ALONE = {"host_leaves", "rolling_replacement"}
@@ -75,7 +75,7 @@
 
 def test_checks_detect_a_task_on_two_hosts(monkeypatch):
     """The leases of a host count as expired at once, so that its tasks start again."""
-    monkeypatch.setattr(host_monitor, "TASK_LEASE", -1.0)
+    monkeypatch.setattr(host_monitor, "TASK_LEASE_S", -1.0)
     assert " ran on " in _find_violations(["host_mute"], range(12))
 
 
@@ -106,13 +106,13 @@
     async def run_without_key(self, key, service, body, send):
         return await send()
 
-    monkeypatch.setattr(KeyGuard, "run", run_without_key)
+    monkeypatch.setattr(IdempotencyGuard, "run", run_without_key)
     assert "times" in _find_violations(["host_mute"], range(12))
 
 
 def test_checks_detect_work_on_a_leaving_host(monkeypatch):
     """Owners ignore changes of the host list."""
-    monkeypatch.setattr(ShardSet, "_apply_list", lambda self, owner: None)
+    monkeypatch.setattr(OwnedShards, "_apply_list", lambda self, owner: None)
     assert "after it was listed as leaving" in _find_violations(["host_leaves"])
 
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -7,8 +7,8 @@
 from bench.clock import run
 from siskinroad.errors import Outcome, Reason, Refusal
 from siskinroad.forwarding import MAX_KEPT_BYTES, Forwarder, Receiver
-from siskinroad.messages import Forward, ForwardAsk, Reply
-from siskinroad.upstreams import Answer
+from siskinroad.messages import Forward, ForwardQuery, Reply
+from siskinroad.upstreams import UpstreamResponse
 
 
 class ForwardPair:
@@ -24,12 +24,12 @@
     async def run_request(self, msg):
         self.runs += 1
         await asyncio.sleep(self.run_seconds)
-        return Answer(200, msg.body)
+        return UpstreamResponse(200, msg.body)
 
     def to_receiver(self, name, msg):
         if self.is_lost(msg):
             return
-        if isinstance(msg, ForwardAsk):
+        if isinstance(msg, ForwardQuery):
             self.receiver.hear_ask(msg)
         else:
             self.receiver.hear(msg)
@@ -60,7 +60,7 @@
     return is_lost
 
 
-@pytest.mark.parametrize("kind", ["Forward", "ForwardAck", "Reply", "ForwardAsk"])
+@pytest.mark.parametrize("kind", ["Forward", "ForwardAck", "Reply", "ForwardQuery"])
 def test_request_runs_once_when_messages_are_lost(kind):
     # Guards against a lost answer or a second run after resends.
     async def main():
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -13,7 +13,7 @@
     TasksEnded,
     epoch_of,
 )
-from siskinroad.snapshots import PART_BYTES, Assembler, split
+from siskinroad.snapshots import PART_BYTES, SnapshotAssembler, split_snapshot
 
 JOB = JobAccepted("d.1", "w", "o", "s", 3, b"")
 
@@ -62,7 +62,7 @@
     complete = _apply_batches(
         Ledger(), [DaemonJoined("a", 1)], [JOB], [ClaimMade("s", "a", 1, 0)]
     )
-    parts = list(split("n", complete.next_offset, complete.encode()))
+    parts = list(split_snapshot("n", complete.next_offset, complete.encode()))
     recovered = Ledger()
     recovered.skip_to(4)
     assert not recovered.whole
@@ -77,21 +77,26 @@
     complete = _apply_batches(Ledger(), [JOB], [JOB], [JOB])
     recovered = Ledger()
     recovered.skip_to(9)
-    recovered.apply(9, list(split("n", complete.next_offset, complete.encode())))
+    recovered.apply(
+        9, list(split_snapshot("n", complete.next_offset, complete.encode()))
+    )
     assert not recovered.whole
 
 
 def test_a_corrupt_snapshot_raises():
-    part = next(split("n", 1, b"data"))
+    part = next(split_snapshot("n", 1, b"data"))
     bad = SnapshotPart(part.name, 1, 0, 1, part.checksum, b"dat!")
     with pytest.raises(ProtocolError, match="snapshot does not match its checksum"):
-        Assembler().add(bad)
+        SnapshotAssembler().add(bad)
 
 
 def test_parts_of_two_snapshots_are_not_combined():
     data = b"x" * (PART_BYTES + 5)
-    one, two = list(split("one", 1, data)), list(split("two", 1, data))
-    assembler = Assembler()
+    one, two = (
+        list(split_snapshot("one", 1, data)),
+        list(split_snapshot("two", 1, data)),
+    )
+    assembler = SnapshotAssembler()
     assert assembler.add(one[0]) is None
     assert assembler.add(two[1]) is None
     assert assembler.add(one[1]) == data
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -1,5 +1,5 @@
 from siskinroad.cell import Urgency
-from siskinroad.limits import ByteLimit, ConcurrencyLimit, Door, Headroom
+from siskinroad.limits import AdmissionLimit, ByteLimit, ConcurrencyLimit, Headroom
 
 
 def test_simultaneous_failures_lower_a_limit_once():
@@ -16,7 +16,7 @@
 
 
 def test_the_least_urgent_is_shed_first():
-    limit = Door(100)
+    limit = AdmissionLimit(100)
     assert [limit.admits(80, urgency) for urgency in Urgency] == [True, True, False]
     assert [limit.admits(95, urgency) for urgency in Urgency] == [True, False, False]
     byte_limit = ByteLimit(1000)
--- a/tests/test_log_reader.py
+++ b/tests/test_log_reader.py
@@ -4,23 +4,23 @@
 import random
 
 from bench.clock import run
-from siskinroad.log_reader import LogFeed, Stream
+from siskinroad.log_reader import LogReader, Stream
 from siskinroad.membership import Membership
 from siskinroad.messages import LogFetch, LogRecords
 from siskinroad.platform import LogPage
-from siskinroad.platform_memory import MemoryLog, MemoryPlatform
+from siskinroad.platform_memory import MemoryPlatform, MemoryPlatformState
 from siskinroad.records import DaemonJoined, encode_batch
 
 
 class Follower:
-    """A ``LogFeed`` of daemon ``a`` on one stream, with what it reported and sent."""
+    """A ``LogReader`` of daemon ``a`` on one stream, with what it reported and sent."""
 
     def __init__(self, platform):
         self.offset = 1
         self.skipped = 0
         self.confirmed = []
         self.sent = []
-        self.feed = LogFeed(
+        self.log_reader = LogReader(
             "a",
             platform,
             Membership("a"),
@@ -29,7 +29,7 @@
             random.Random(1),
         )
         self.stream = Stream("s", lambda: self.offset, self.apply, self.skip)
-        self.feed.follow(self.stream)
+        self.log_reader.follow(self.stream)
 
     def apply(self, offset, records):
         assert offset == self.offset
@@ -47,7 +47,7 @@
 def run_follower(platform, seconds=3.0, during=None):
     async def main():
         follower = Follower(platform)
-        task = asyncio.create_task(follower.feed.run())
+        task = asyncio.create_task(follower.log_reader.run())
         if during is not None:
             await during(follower)
         await asyncio.sleep(seconds)
@@ -58,7 +58,7 @@
 
 
 def filled_log(count):
-    log = MemoryLog()
+    log = MemoryPlatformState()
     for number in range(count):
         log.append("s", encode_record(number))
     return log
@@ -85,7 +85,7 @@
         records = [encode_record(number) for number in range(6)]
         for data in records[3:]:
             log.append("s", data)
-        follower.feed.handle_records(LogRecords("s", 1, records))
+        follower.log_reader.handle_records(LogRecords("s", 1, records))
 
     follower = run_follower(SlowPlatform(log), during=during)
     assert (follower.stream.stop_reason, follower.offset) == ("", 7)
@@ -121,13 +121,13 @@
 
     async def main():
         follower = Follower(MemoryPlatform(filled_log(0)))
-        follower.feed.handle_records(LogRecords("s", 3, [encode_record(3)]))
+        follower.log_reader.handle_records(LogRecords("s", 3, [encode_record(3)]))
         assert follower.offset == 1
-        follower.feed.handle_records(
+        follower.log_reader.handle_records(
             LogRecords("s", 1, [encode_record(1), encode_record(2)])
         )
-        follower.feed.handle_fetch(LogFetch("b", "s", 2))
-        follower.feed.handle_fetch(LogFetch("b", "s", 0))
+        follower.log_reader.handle_fetch(LogFetch("b", "s", 2))
+        follower.log_reader.handle_fetch(LogFetch("b", "s", 0))
         return follower
 
     follower = run(main())
--- a/tests/test_peers_zmq.py
+++ b/tests/test_peers_zmq.py
@@ -4,7 +4,7 @@
 
 from siskinroad.cluster import free_addresses
 from siskinroad.messages import ForwardAck
-from siskinroad.peers_zmq import ZmqPeers, new_keys
+from siskinroad.peers_zmq import ZmqTransport, new_keys
 from siskinroad.settings import Peer, Settings
 
 # Messages sent, 50 ms apart, before a missing delivery counts as a failure.
@@ -24,7 +24,7 @@
         secret_key=keys[1],
     )
     received = []
-    transport = ZmqPeers(cfg)
+    transport = ZmqTransport(cfg)
     transport.receiver = lambda peer, msg: received.append((peer, msg.id))
     transport.open()
     return transport, received
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -15,9 +15,9 @@
 from siskinroad.cluster import free_addresses
 from siskinroad.errors import SiskinroadError
 from siskinroad.http_client import HttpPool
-from siskinroad.platform_memory import MemoryLog
-from siskinroad.stand_in_servers import PlatformServer, WorkerServer
-from siskinroad.upstreams_memory import MemoryWorker
+from siskinroad.platform_memory import MemoryPlatformState
+from siskinroad.stand_in_servers import HostServer, PlatformServer
+from siskinroad.upstreams_memory import MemoryHost
 
 pytestmark = pytest.mark.processes
 NAMES = ("a", "b")
@@ -34,14 +34,14 @@
         self.pool = HttpPool()
 
     async def start_all(self):
-        self.platform = PlatformServer(MemoryLog())
+        self.platform = PlatformServer(MemoryPlatformState())
         platform_address = await self.platform.http.listen("127.0.0.1:0")
         for host in parse_cell(self.text).hosts():
             capacity = parse_cell(self.text).pools["booking"].capacity
-            worker = MemoryWorker(
+            worker = MemoryHost(
                 host.name, capacity, random.Random(1), duration=lambda w, r: 0.05
             )
-            server = WorkerServer(worker, host)
+            server = HostServer(worker, host)
             address = await server.http.listen("127.0.0.1:0")
             self.text = self.text.replace(host.address, address)
             self.workers[host.name] = worker
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -5,7 +5,7 @@
 import pytest
 
 from bench.clock import run
-from siskinroad.peers import Reach
+from siskinroad.peers import Reachability
 from siskinroad.work.hosts import EndKind
 from siskinroad.work.model import TaskId
 from tests.work.cell import ADVISED, POOL, Cell, job, step
@@ -135,7 +135,7 @@
         assert cell.owner() == owner
 
     async def answer_listening(name):
-        return Reach.LISTENS
+        return Reachability.LISTENS
 
     run_scenario(scenario)
 
