--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -47,7 +47,7 @@
         index = self.indexes[item.workload.pool]
         for member, view in enumerate(views):
             task = f"{item.key}~{member}"
-            index.take(view, task, item.workload.demand, item.workload.name)
+            index.allocate(view, task, item.workload.demand, item.workload.name)
         item.state = "running"
         item.started = now
         item.tries += 1
@@ -59,7 +59,7 @@
     ) -> list[Effect]:
         item, views = self.running[key]
         index = self.indexes[item.workload.pool]
-        index.give_back(views[member], f"{key}~{member}", item.workload.name)
+        index.release(views[member], f"{key}~{member}", item.workload.name)
         member_tasks = [f"{key}~{m}" for m in range(item.workload.size)]
         if any(task in views[m].tasks for m, task in enumerate(member_tasks)):
             return list(self.dispatch(now))
@@ -95,7 +95,9 @@
         views: list[HostView] = []
         need = item.workload.demand
         for view in self.indexes[pool].hosts.values():
-            member_count = min(view.count(need), item.workload.size - len(views))
+            member_count = min(
+                view.count_fitting(need), item.workload.size - len(views)
+            )
             views += [view] * member_count
             if len(views) == item.workload.size:
                 return views
@@ -124,10 +126,10 @@
                 item = queue[0][2]
                 need = item.workload.demand
                 if item.workload.size > 1:
-                    parts = index.whole(need, item.workload.size, set(), set())
+                    parts = index.place_gang(need, item.workload.size, set(), set())
                     views = [v for v, n in parts for _ in range(n)] if parts else None
                 else:
-                    view = index.tightest(need, set(), set())
+                    view = index.best_fit(need, set(), set())
                     views = [view] if view else None
                 if not views:
                     break
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -337,7 +337,7 @@
         as_of = daemon.ledger.next_offset
         if session.world.daemons.get(daemon.cfg.name) is not daemon:
             continue
-        if not daemon.ledger.whole or daemon.configuration.revision == 0:
+        if not daemon.ledger.is_complete or daemon.configuration.revision == 0:
             continue
         before = session.world.log.streams[CELL_STREAM].tail
         await session.call_daemon(daemon, daemon.snapshotter.write_all())
--- a/bench/model.py
+++ b/bench/model.py
@@ -38,13 +38,15 @@
     paused: int = 0
     ledger: Ledger = field(default_factory=Ledger)
     members: Membership = field(init=False)
-    own: Ownership = field(init=False)
+    ownership: Ownership = field(init=False)
     inbox: list[Heartbeat] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.members = Membership(self.name)
-        self.own = Ownership(self.name, self.incarnation, self.ledger, self.members)
-        self.own.set_shards(dict.fromkeys(SHARDS, False))
+        self.ownership = Ownership(
+            self.name, self.incarnation, self.ledger, self.members
+        )
+        self.ownership.set_shards(dict.fromkeys(SHARDS, False))
 
 
 @dataclass
@@ -88,7 +90,7 @@
             if not node.up or node.paused:
                 continue
             for msg in node.inbox:
-                node.members.hear(msg, self.now)
+                node.members.record_heartbeat(msg, self.now)
             node.inbox.clear()
             self._tick(node)
 
@@ -98,7 +100,7 @@
         while node.ledger.next_offset <= len(self.log):
             offset = node.ledger.next_offset
             node.ledger.apply(offset, self.log[offset - 1])
-        node.own.log_confirmed(self.now)
+        node.ownership.log_confirmed(self.now)
 
     def _send_heartbeats(self, node: Node) -> None:
         for other in self.nodes.values():
@@ -108,7 +110,9 @@
             if (node.name, other.name) in self.one_way:
                 continue
             member = node.members.members.get(other.name)
-            echo = Echo(member.stamp, node.own.contests()) if member else None
+            echo = (
+                Echo(member.stamp, node.ownership.claimed_shards()) if member else None
+            )
             other.inbox.append(
                 Heartbeat(
                     node.name,
@@ -117,21 +121,21 @@
                     echo,
                     1,
                     False,
-                    node.own.joined(),
-                    node.own.admits(),
+                    node.ownership.is_admitted(),
+                    node.ownership.required_peers(),
                     [],
                 )
             )
 
     def _tick(self, node: Node) -> None:
-        for effect in node.own.tick(self.now):
+        for effect in node.ownership.tick(self.now):
             match effect:
                 case Append(record=record):
                     self._append(node, record)
                 case ReleaseShard():
                     self._append(node, ClaimReleased(effect.shard, effect.epoch))
                 case TakeOverShard():
-                    node.own.taken(effect.shard, effect.epoch)
+                    node.ownership.finish_takeover(effect.shard, effect.epoch)
 
     def _append(self, node: Node, record: Record) -> None:
         if node.name in self.no_log:
@@ -147,7 +151,7 @@
             placing_daemons = [
                 node.name
                 for node in self.nodes.values()
-                if node.up and node.own.may_place(shard, self.now)
+                if node.up and node.ownership.may_place(shard, self.now)
             ]
             if len(placing_daemons) > 1:
                 return f"{shard} at {self.now}: {placing_daemons}"
@@ -208,7 +212,7 @@
     for _ in range(16):
         model.step()
     placed = [
-        sum(node.own.may_place(shard, model.now) for node in model.nodes.values())
+        sum(node.ownership.may_place(shard, model.now) for node in model.nodes.values())
         for shard in SHARDS
     ]
     assert placed == [1, 1], placed
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -264,7 +264,7 @@
     """Return the digest bytes sent across regions, without relays inside them."""
     total = 0
     for daemon in world.daemons.values():
-        total += daemon.periodic.sent_abroad
+        total += daemon.periodic.cross_dc_bytes
     return total
 
 
@@ -282,7 +282,7 @@
     def exchange_heartbeat() -> None:
         stamp[0] += 1.0
         msg = Heartbeat("a", 1, stamp[0], Echo(2.0, []), 3, False, True, ["b"] * 6, [])
-        members.hear(decode(encode(msg)), stamp[0])
+        members.record_heartbeat(decode(encode(msg)), stamp[0])
 
     steps = {"heartbeat sent and heard": exchange_heartbeat}
     scheduler = _make_scheduler_with_tasks(2000, "recount", 64)
--- a/siskinroad/accounts.py
+++ b/siskinroad/accounts.py
@@ -18,7 +18,7 @@
 HOUR_MS = 3_600_000
 # Milliseconds between two divisions of the used and idle capacity. The amounts of a
 # span are booked to the hour in which it begins, so a larger value blurs the hours.
-SETTLE_INTERVAL_MS = 60_000
+APPORTION_INTERVAL_MS = 60_000
 # Hours for which amounts are kept; it bounds the memory of the accounts.
 RETAINED_HOURS = 48
 
@@ -82,7 +82,7 @@
     since: int = 0
     total: list[int] = field(default_factory=lambda: [0] * DIMENSIONS)
 
-    def settle(self, now: int) -> None:
+    def accumulate(self, now: int) -> None:
         passed = now - self.since
         if passed > 0:
             self.total[0] += self.held.cpu_milli * passed
@@ -90,8 +90,8 @@
             self.total[2] += self.held.accelerators * passed
             self.since = now
 
-    def take(self, now: int) -> list[int]:
-        self.settle(now)
+    def take_total(self, now: int) -> list[int]:
+        self.accumulate(now)
         total, self.total = self.total, [0] * DIMENSIONS
         return total
 
@@ -106,18 +106,18 @@
         self.owners = dict(owners)
         self._capacity = _Meter(since=now)
         self._meters: dict[str, _Meter] = {}
-        self._settled = now
+        self._apportioned_until = now
         self.hours: dict[int, dict[str, OwnerSpan]] = {}
         self.capacity: dict[int, Amounts] = {}
 
     def set_owners(self, owners: dict[str, Owner], now: int) -> None:
         """Apply the owners of a configuration from now on."""
-        self.settle(now)
+        self.apportion_span(now)
         self.owners = dict(owners)
 
     def set_capacity(self, total: Resources, now: int) -> None:
         """Set the total capacity from now on."""
-        self._capacity.settle(now)
+        self._capacity.accumulate(now)
         self._capacity.held = total
 
     def change(self, owner: str, held: Resources, sign: int, now: int) -> None:
@@ -125,20 +125,20 @@
         meter = self._meters.get(owner)
         if meter is None:
             meter = self._meters[owner] = _Meter(since=now)
-        meter.settle(now)
+        meter.accumulate(now)
         meter.held = meter.held + held if sign > 0 else meter.held - held
 
     def tick(self, now: int) -> None:
-        """Settle the accounts every ``SETTLE_INTERVAL_MS``."""
-        if now - self._settled >= SETTLE_INTERVAL_MS:
-            self.settle(now)
+        """Apportion the capacity every ``APPORTION_INTERVAL_MS``."""
+        if now - self._apportioned_until >= APPORTION_INTERVAL_MS:
+            self.apportion_span(now)
 
-    def settle(self, now: int) -> None:
+    def apportion_span(self, now: int) -> None:
         """Divide the capacity of the time since the last call among the owners."""
-        capacity = self._capacity.take(now)
-        used = {name: meter.take(now) for name, meter in self._meters.items()}
-        hour = self._settled // HOUR_MS
-        self._settled = now
+        capacity = self._capacity.take_total(now)
+        used = {name: meter.take_total(now) for name, meter in self._meters.items()}
+        hour = self._apportioned_until // HOUR_MS
+        self._apportioned_until = now
         spans = self.hours.setdefault(hour, {})
         names = sorted(self.owners.keys() | used.keys())
         for name in names:
--- a/siskinroad/attempts.py
+++ b/siskinroad/attempts.py
@@ -50,7 +50,7 @@
     ) -> StartTask:
         """Allocate a host to each member and return the effect that starts them."""
         item.tries += 1
-        item.state = self.chart.next(item.state, "start")
+        item.state = self.chart.next_state(item.state, "start")
         item.started = now
         attempt = run_name(item.key, item.tries)
         expected_end = now + self.shard.estimates.run_time(item.workload)
@@ -75,7 +75,7 @@
         run.hosts[member] = view.name
         run.known_members.add(member)
         index = self.shard.pools[workload.pool].index
-        index.take(view, task_name(run.item.key, member), held, workload.name)
+        index.allocate(view, task_name(run.item.key, member), held, workload.name)
         self.shard.charge(workload, run.held, 1, now)
 
     def adopt(self, item: Item, name: AttemptName, host: str, now: float) -> bool:
@@ -107,7 +107,7 @@
 
     def withdraw(self, item: Item) -> None:
         """Remove a waiting item whose task was found running."""
-        is_backing_off = item.hold_until > 0
+        is_backing_off = item.backoff_until > 0
         item.state = "cancelled"
         del self.shard.items[item.key]
         if is_backing_off:
@@ -119,7 +119,7 @@
         """Record that the host has confirmed the start of an item."""
         item = self.shard.items.get(key)
         if item is not None and self.chart.allows(item.state, "started"):
-            item.state = self.chart.next(item.state, "started")
+            item.state = self.chart.next_state(item.state, "started")
 
     def ended(
         self,
@@ -174,7 +174,7 @@
         assert view is not None
         workload = run.item.workload
         index = self.shard.pools[self.shard.pool_of[view.name]].index
-        index.give_back(view, task_name(run.item.key, member), workload.name)
+        index.release(view, task_name(run.item.key, member), workload.name)
         self.shard.charge(workload, run.held, -1, now)
         return view
 
@@ -208,10 +208,10 @@
     def _adjust_limit(self, view: HostView, end: End, now: float) -> None:
         limit = self.shard.limits[view.name]
         if end is End.DONE:
-            limit.success()
+            limit.record_success()
         elif end in (End.UNKNOWN, End.REJECTED, End.NOT_SENT):
-            limit.failure(now)
-        view.limit = 1 if view.state == "probation" else limit.whole
+            limit.record_failure(now)
+        view.limit = 1 if view.state == "probation" else limit.whole_tasks
 
     def _conclude(self, run: Running, now: float) -> list[Effect]:
         item = run.item
@@ -247,7 +247,7 @@
     def requeue(self, item: Item, *, front: bool) -> list[Effect]:
         """Queue an item again without a backoff."""
         item.state = "waiting"
-        item.hold_until = 0.0
+        item.backoff_until = 0.0
         hosts = self.shard.pools[item.workload.pool].index.hosts
         if len(item.avoid) >= len(hosts):
             item.avoid.clear()
@@ -257,7 +257,7 @@
 
     def _back_off(self, item: Item, until: float) -> list[Effect]:
         item.state = "waiting"
-        item.hold_until = until
+        item.backoff_until = until
         self.backing_off.append(item)
         return []
 
@@ -286,17 +286,21 @@
 
     def release_backed_off(self, now: float) -> None:
         """Queue the items whose backoff after a failure is over."""
-        due = [item for item in self.backing_off if item.hold_until <= now]
+        due = [item for item in self.backing_off if item.backoff_until <= now]
         if not due:
             return
-        self.backing_off = [item for item in self.backing_off if item.hold_until > now]
+        self.backing_off = [
+            item for item in self.backing_off if item.backoff_until > now
+        ]
         for item in due:
             front = item.workload.kind == "service"
             self.requeue(item, front=front)
 
     def next_backoff_end(self) -> float:
         """Return the earliest end of a backoff; infinite if there is none."""
-        return min((item.hold_until for item in self.backing_off), default=float("inf"))
+        return min(
+            (item.backoff_until for item in self.backing_off), default=float("inf")
+        )
 
     def drop_backing_off(self, item: Item) -> None:
         """Remove an item that was cancelled during its backoff."""
--- a/siskinroad/callers.py
+++ b/siskinroad/callers.py
@@ -87,14 +87,14 @@
             text = f"body is larger than {workload.max_body} bytes"
             raise Refusal(Reason.BAD_REQUEST, step="callers", message=text)
         request = self._build_request(req, workload)
-        if not self.daemon.bytes.take(len(req.body), workload.urgency):
+        if not self.daemon.bytes.reserve(len(req.body), workload.urgency):
             raise Refusal(Reason.SHED, step="callers", retry_after=1.0)
         try:
             answer = await self.daemon.request_handler.serve(
                 request, self.daemon.cell()
             )
         finally:
-            self.daemon.bytes.give_back(len(req.body))
+            self.daemon.bytes.release(len(req.body))
         self.daemon.metrics.answers.labels(name).inc()
         return HttpResponse(answer.status, answer.body, answer.content_type)
 
--- a/siskinroad/charts.py
+++ b/siskinroad/charts.py
@@ -37,7 +37,7 @@
     initial: str
     transitions: dict[str, dict[str, str]]
 
-    def next(self, state: str, event: str) -> str:
+    def next_state(self, state: str, event: str) -> str:
         """Return the state after ``event``.
 
         Raises
--- a/siskinroad/configuration.py
+++ b/siskinroad/configuration.py
@@ -69,7 +69,7 @@
         """Return whether an operator's request has made a recent revision."""
         return key in self._recent_keys
 
-    def successor(self, text: str, key: str) -> CellRevision:
+    def make_revision(self, text: str, key: str) -> CellRevision:
         """Return the record that would make ``text`` the next revision."""
         delta = make_delta(self.text, text)
         return CellRevision(self.revision + 1, self.revision, delta, digest(text), key)
@@ -98,7 +98,7 @@
                     "revision does not match its digest", step="configuration.apply"
                 )
             cell = parse_cell(text, f"revision {record.revision}")
-            self.check_moves(cell)
+            self.check_no_host_moves(cell)
         except (ConfigError, ProtocolError):
             self.rejected += 1
             return False
@@ -106,7 +106,7 @@
         self._recent_keys.append(record.key)
         return True
 
-    def check_moves(self, cell: Cell) -> None:
+    def check_no_host_moves(self, cell: Cell) -> None:
         """Check that no host of the revision in force would change its shard.
 
         Raises
@@ -125,9 +125,9 @@
         data = self._assembler.add(part)
         if data is None:
             return False
-        return self.adopt(decode_revision(data))
+        return self.apply_if_newer(decode_revision(data))
 
-    def adopt(self, whole: RevisionText) -> bool:
+    def apply_if_newer(self, whole: RevisionText) -> bool:
         """Apply a complete revision if it is newer; return whether it is."""
         if whole.revision <= self.revision:
             return False
@@ -137,13 +137,13 @@
         self.next_offset = max(self.next_offset, whole.next)
         return True
 
-    def whole(self) -> RevisionText:
+    def complete_revision(self) -> RevisionText:
         """Return the complete revision in force, for a snapshot or a peer."""
         return RevisionText(self.revision, self.text, self.key, self.next_offset)
 
     def encode(self) -> bytes:
         """Return the state encoded as a snapshot."""
-        return msgspec.msgpack.encode(self.whole())
+        return msgspec.msgpack.encode(self.complete_revision())
 
 
 def decode_revision(data: bytes) -> RevisionText:
--- a/siskinroad/dispatch.py
+++ b/siskinroad/dispatch.py
@@ -172,16 +172,16 @@
             is_excluded = only_host.name in reserved or only_host.name in item.avoid
             return None if is_excluded else [only_host]
         if workload.size > 1:
-            parts = state.index.whole(need, workload.size, item.avoid, reserved)
+            parts = state.index.place_gang(need, workload.size, item.avoid, reserved)
             if parts is None:
                 return None
             return [view for view, count in parts for _ in range(count)]
         if (
             workload.kind == "service" and not workload.demand.accelerators
         ) or workload.long_running:
-            view = state.index.widest(need, item.avoid, reserved, workload.name)
+            view = state.index.least_loaded(need, item.avoid, reserved, workload.name)
         else:
-            view = state.index.tightest(need, item.avoid, reserved)
+            view = state.index.best_fit(need, item.avoid, reserved)
         return None if view is None else [view]
 
     def _reserved_for_others(
@@ -272,13 +272,15 @@
         held = state.reservations.get(head.key) if head is not None else None
         if held is not None and view.name in held.hosts:
             return self._reservation_fits(state, held, need, workload.size)
-        return view.count(need) >= workload.size
+        return view.count_fitting(need) >= workload.size
 
     def _reservation_fits(
         self, state: PoolState, held: Reservation, need: Resources, size: int
     ) -> bool:
         hosts = state.index.hosts
-        fitting = sum(hosts[name].count(need) for name in held.hosts if name in hosts)
+        fitting = sum(
+            hosts[name].count_fitting(need) for name in held.hosts if name in hosts
+        )
         return fitting >= size
 
     def unblock_all(self) -> None:
@@ -317,7 +319,7 @@
     open_hosts = [view for view in state.index.hosts.values() if view.open]
     if not open_hosts:
         return f"no host of {workload.pool} accepts new work"
-    fitting = sum(view.count(need) for view in open_hosts)
+    fitting = sum(view.count_fitting(need) for view in open_hosts)
     if fitting < workload.size:
         return f"room for {fitting} of {workload.size} on {len(open_hosts)} hosts"
     others = [key for key in state.reservations if key != item.key]
--- a/siskinroad/entry.py
+++ b/siskinroad/entry.py
@@ -236,7 +236,7 @@
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self.cfg.drain_s
-        self.state = load_chart("daemon").next(self.state, "stop")
+        self.state = load_chart("daemon").next_state(self.state, "stop")
         self.ownership.draining = True
         self.members.draining = True
         self.periodic.send_heartbeats()
@@ -259,7 +259,7 @@
             # Peers that do not know of the drain yet still send work here. It is
             # refused as not run, so that they send it to the next owner.
             await asyncio.sleep(LINGER_TIME)
-        self.state = load_chart("daemon").next(
+        self.state = load_chart("daemon").next_state(
             self.state, "idle" if is_done else "timeout"
         )
         log.info("entry: drain finished" if is_done else "entry: drain timed out")
@@ -293,9 +293,9 @@
         self.periodic.request_revision()
 
     def _apply_ledger(self, offset: int, records: list[Record]) -> None:
-        was_whole = self.ledger.whole
+        was_complete = self.ledger.is_complete
         self.ledger.apply(offset, records)
-        if self.ledger.whole and not was_whole:
+        if self.ledger.is_complete and not was_complete:
             self.shards.hear_snapshot()
         self.shards.hear_records(records)
         self._schedule_notify()
@@ -307,7 +307,7 @@
         self.shards.configure(cell)
         self.metrics.revision.set(self.configuration.revision)
         if self.state == "starting":
-            self.state = load_chart("daemon").next(self.state, "configured")
+            self.state = load_chart("daemon").next_state(self.state, "configured")
         log.info("entry: revision %d is in force", self.configuration.revision)
 
     def _schedule_notify(self) -> None:
@@ -352,10 +352,10 @@
     def loads(self) -> list[ShardLoad]:
         """Return the load and owner of every known shard, in all data centres."""
         now = asyncio.get_running_loop().time()
-        loads = self.load_table.near(now)
+        loads = self.load_table.local_loads(now)
         for load in self.shards.loads():
             loads[load.shard] = load
-        return [*loads.values(), *self.load_table.abroad.values()]
+        return [*loads.values(), *self.load_table.remote_loads.values()]
 
     async def _run_forwarded(self, msg: Forward) -> UpstreamResponse:
         workload = self.cell().workloads.get(msg.service)
@@ -403,7 +403,7 @@
 
     def _handle_offer(self, msg: RevisionOffer) -> None:
         try:
-            if self.configuration.adopt(msg.whole):
+            if self.configuration.apply_if_newer(msg.whole):
                 self.put_in_force()
         except ConfigError as exc:
             log.error("entry: peer offered an invalid revision: %s", exc)
--- a/siskinroad/gangs.py
+++ b/siskinroad/gangs.py
@@ -60,7 +60,7 @@
         self.accelerators += held.accelerators
         self.slots += held.slots
 
-    def count(self, need: Resources) -> int:
+    def count_fitting(self, need: Resources) -> int:
         best = self.slots // max(need.slots, 1)
         if need.cpu_milli:
             best = min(best, self.cpu // need.cpu_milli)
@@ -102,7 +102,7 @@
     for host in hosts[:MAX_CANDIDATES]:
         capacity = _FreeCapacity(host.cpu, host.memory, host.accelerators, host.slots)
         free[host.name] = capacity
-        counts[host.name] = capacity.count(need)
+        counts[host.name] = capacity.count_fitting(need)
         for task, held in host.tasks.items():
             events.append((max(expected_end(task), now), len(events), host, held))
     events.sort(key=lambda event: event[:2])
@@ -114,7 +114,7 @@
         if time == math.inf:
             return None
         free[host.name].add(held)
-        count = free[host.name].count(need)
+        count = free[host.name].count_fitting(need)
         total += count - counts[host.name]
         counts[host.name] = count
         start = time
--- a/siskinroad/health.py
+++ b/siskinroad/health.py
@@ -150,11 +150,11 @@
                 verdicts.append(Verdict(host, "probation"))
         return verdicts
 
-    def forget(self, host: str) -> None:
+    def remove_host(self, host: str) -> None:
         """Remove the record of a host that was removed or replaced."""
         self._hosts.pop(host, None)
         self._quarantined.discard(host)
 
-    def forget_workload(self, workload: str) -> None:
+    def remove_workload(self, workload: str) -> None:
         """Remove the record of a workload that has ended."""
         self._workloads.pop(workload, None)
--- a/siskinroad/heartbeats.py
+++ b/siskinroad/heartbeats.py
@@ -11,7 +11,7 @@
 
 from siskinroad.daemon_context import DaemonContext
 from siskinroad.errors import PlatformError
-from siskinroad.membership import HEARTBEAT_TIME
+from siskinroad.membership import HEARTBEAT_INTERVAL
 from siskinroad.messages import (
     Digest,
     Echo,
@@ -31,7 +31,7 @@
 LIST_INTERVAL = 1.5
 # Heartbeats after which an unchanged list of admitted daemons is sent again. A larger
 # value leaves a peer that missed it without the list for longer.
-ADMITS_INTERVAL = 4
+REQUIRED_PEERS_INTERVAL = 4
 # Seconds after which an unchanged digest is sent again. A smaller value costs traffic
 # between data centres; a larger one leaves them with old loads for longer.
 DIGEST_INTERVAL = 10.0
@@ -52,7 +52,7 @@
 
     Attributes
     ----------
-    sent_abroad : int
+    cross_dc_bytes : int
         Bytes of the digests sent to other data centres.
     """
 
@@ -70,9 +70,9 @@
         self._host_list = HostListUpdate("", [])
         self._host_list_sent: dict[str, tuple[int, str]] = {}
         self._latest_digests: dict[str, Digest] = {}
-        self.sent_abroad = 0
+        self.cross_dc_bytes = 0
         self._heartbeats_sent = 0
-        self._last_admits: list[str] = []
+        self._last_required_peers: list[str] = []
         self._revision_requested_at = float("-inf")
 
     # Heartbeats
@@ -84,31 +84,32 @@
             daemon = self.daemon
             if daemon.configuration.revision == 0:
                 self.request_revision()
-            await asyncio.sleep(HEARTBEAT_TIME)
+            await asyncio.sleep(HEARTBEAT_INTERVAL)
 
     def send_heartbeats(self) -> None:
         """Send a heartbeat to each daemon of the data centre."""
         daemon = self.daemon
         now = asyncio.get_running_loop().time()
-        contests = daemon.ownership.contests()
-        admits = self._due_admits()
+        claimed_shards = daemon.ownership.claimed_shards()
+        required_peers = self._due_required_peers()
         for name in self._local_peers:
             member = daemon.members.members.get(name)
-            echo = Echo(member.stamp, contests) if member is not None else None
-            daemon.peers.send(name, self._make_heartbeat(now, echo, admits))
+            echo = Echo(member.stamp, claimed_shards) if member is not None else None
+            daemon.peers.send(name, self._make_heartbeat(now, echo, required_peers))
 
-    def _due_admits(self) -> list[str] | None:
+    def _due_required_peers(self) -> list[str] | None:
         """Return the admitted daemons if the next heartbeat must carry them."""
-        admits = self.daemon.ownership.admits()
+        required_peers = self.daemon.ownership.required_peers()
         self._heartbeats_sent += 1
         due = (
-            self._heartbeats_sent % ADMITS_INTERVAL == 0 or admits != self._last_admits
+            self._heartbeats_sent % REQUIRED_PEERS_INTERVAL == 0
+            or required_peers != self._last_required_peers
         )
-        self._last_admits = admits
-        return admits if due else None
+        self._last_required_peers = required_peers
+        return required_peers if due else None
 
     def _make_heartbeat(
-        self, now: float, echo: Echo | None, admits: list[str] | None
+        self, now: float, echo: Echo | None, required_peers: list[str] | None
     ) -> Heartbeat:
         daemon = self.daemon
         return Heartbeat(
@@ -118,8 +119,8 @@
             echo,
             daemon.configuration.revision,
             daemon.ownership.draining,
-            daemon.ownership.joined(),
-            admits,
+            daemon.ownership.is_admitted(),
+            required_peers,
             daemon.shards.news(),
         )
 
@@ -128,7 +129,7 @@
         daemon = self.daemon
         if msg.name not in self._local_peers:
             return
-        is_new = daemon.members.hear(msg, now)
+        is_new = daemon.members.record_heartbeat(msg, now)
         if is_new:
             log.info(
                 "heartbeats: peer %s started, incarnation %d", msg.name, msg.incarnation
@@ -144,7 +145,7 @@
         Only the live daemon with the lowest name sends them, so that they arrive once.
         """
         daemon = self.daemon
-        others = [m.name for m in daemon.members.alive(now) if m.name != name]
+        others = [m.name for m in daemon.members.alive_members(now) if m.name != name]
         if daemon.cfg.name != min([*others, daemon.cfg.name]):
             return
         for digest in self._latest_digests.values():
@@ -180,7 +181,7 @@
         """Send the revision in force to a requesting peer that has an older one."""
         config = self.daemon.configuration
         if config.revision > msg.known:
-            self.daemon.peers.send(msg.name, RevisionOffer(config.whole()))
+            self.daemon.peers.send(msg.name, RevisionOffer(config.complete_revision()))
 
     # Host list of the platform
 
@@ -210,9 +211,12 @@
 
     def _send_host_list(self, now: float) -> None:
         daemon = self.daemon
-        if daemon.members.reader(now) != daemon.cfg.name or not self._host_list.version:
+        if (
+            daemon.members.log_reader_name(now) != daemon.cfg.name
+            or not self._host_list.version
+        ):
             return
-        for member in daemon.members.alive(now):
+        for member in daemon.members.alive_members(now):
             sent_version = (member.incarnation, self._host_list.version)
             if self._host_list_sent.get(member.name) != sent_version:
                 self._host_list_sent[member.name] = sent_version
@@ -240,7 +244,7 @@
         while True:
             await asyncio.sleep(DIGEST_CHECK_INTERVAL)
             now = loop.time()
-            if self.daemon.members.reader(now) != self.daemon.cfg.name:
+            if self.daemon.members.log_reader_name(now) != self.daemon.cfg.name:
                 continue
             msg = self._make_digest(now)
             if (msg.revision, msg.owners) == last and now - sent < DIGEST_INTERVAL:
@@ -253,12 +257,12 @@
         size = len(encode(msg))
         for names in self._remote_peers.values():
             daemon.peers.send(names[self._sequence % len(names)], msg)
-            self.sent_abroad += size
+            self.cross_dc_bytes += size
 
     def _make_digest(self, now: float) -> Digest:
         daemon = self.daemon
         self._sequence += 1
-        members = daemon.members.alive(now)
+        members = daemon.members.alive_members(now)
         owners = {
             news.shard: (member.name, member.incarnation)
             for member in members
@@ -283,7 +287,7 @@
     def handle_digest(self, msg: Digest, now: float) -> None:
         """Apply another data centre's digest and relay it within this one."""
         daemon = self.daemon
-        if not daemon.load_table.hear_digest(msg, now):
+        if not daemon.load_table.apply_digest(msg, now):
             return
         relayed = Digest(
             msg.name,
@@ -298,5 +302,5 @@
         self._latest_digests[msg.data_centre] = relayed
         if not msg.relay:
             return
-        for member in daemon.members.alive(now):
+        for member in daemon.members.alive_members(now):
             daemon.peers.send(member.name, relayed)
--- a/siskinroad/host_monitor.py
+++ b/siskinroad/host_monitor.py
@@ -264,7 +264,7 @@
 def _release_unknown_tasks(owner: MonitoredOwner, view: HostView) -> None:
     index = owner.scheduler.shard.pool_state(view.name).index
     for task in [task for task in view.tasks if task.startswith(UNKNOWN_TASK)]:
-        index.give_back(view, task, UNKNOWN_TASK)
+        index.release(view, task, UNKNOWN_TASK)
 
 
 def _reserve_unknown_tasks(
@@ -279,7 +279,7 @@
         need = workload.demand if workload is not None else used
         free = Resources(view.cpu, view.memory, view.accelerators, view.slots)
         task = f"{UNKNOWN_TASK} {report.attempt}~0"
-        index.take(view, task, need.clip(free), UNKNOWN_TASK)
+        index.allocate(view, task, need.clip(free), UNKNOWN_TASK)
 
 
 def _apply_ended_task(
@@ -336,7 +336,7 @@
         return
     index = owner.scheduler.shard.pool_state(view.name).index
     if LEFTOVER_REQUESTS in view.tasks:
-        index.give_back(view, LEFTOVER_REQUESTS, LEFTOVER_REQUESTS)
+        index.release(view, LEFTOVER_REQUESTS, LEFTOVER_REQUESTS)
     leftover = max(0, requests - _count_own_requests(owner, view))
     monitor.leftover_requests = (
         leftover
@@ -346,7 +346,7 @@
     if monitor.leftover_requests:
         need = _largest_request(owner, monitor.host).times(monitor.leftover_requests)
         free = Resources(view.cpu, view.memory, view.accelerators, view.slots)
-        index.take(view, LEFTOVER_REQUESTS, need.clip(free), LEFTOVER_REQUESTS)
+        index.allocate(view, LEFTOVER_REQUESTS, need.clip(free), LEFTOVER_REQUESTS)
 
 
 def _count_own_requests(owner: MonitoredOwner, view: HostView) -> int:
--- a/siskinroad/idempotency.py
+++ b/siskinroad/idempotency.py
@@ -83,7 +83,7 @@
             return _replay_answer(
                 await self._wait_for_outcome(full_key, known), request_digest
             )
-        if not self.ledger.whole:
+        if not self.ledger.is_complete:
             raise _log_unavailable_refusal(Outcome.UNKNOWN)
         self._active_keys.add(full_key)
         try:
--- a/siskinroad/jobs.py
+++ b/siskinroad/jobs.py
@@ -21,7 +21,7 @@
 from siskinroad.messages import JobReply, JobRequest, Message
 from siskinroad.records import JobAccepted, JobCancelled, Record
 from siskinroad.request_handler import home_data_centre_of
-from siskinroad.routing import Place, ShardLoad, choose
+from siskinroad.routing import Place, ShardLoad, choose_shard
 from siskinroad.shards import OwnedShards
 
 __all__ = ["JobService", "JobView", "data_centre_of"]
@@ -157,10 +157,10 @@
         if key:
             home = home_data_centre_of(cell, workload, key, self.place)
             loads = [load for load in loads if load.place.data_centre == home]
-        near = [load for load in loads if load.place == self.place]
-        load = choose(workload, near, self.place, set(), now, self.rng)
+        local_loads = [load for load in loads if load.place == self.place]
+        load = choose_shard(workload, local_loads, self.place, set(), now, self.rng)
         if load is None:
-            load = choose(workload, loads, self.place, set(), now, self.rng)
+            load = choose_shard(workload, loads, self.place, set(), now, self.rng)
         if load is None:
             reason = Reason.HOME_UNREACHABLE if key else Reason.NO_OWNER
             raise Refusal(reason, step="submit", retry_after=1.0)
@@ -334,7 +334,7 @@
         workload = owner.scheduler.shard.cell.workloads.get(msg.workload)
         if workload is None or workload.kind == "service":
             raise Refusal(Reason.UNKNOWN_SERVICE, step="submit", message=msg.workload)
-        why = owner.scheduler.why_never(workload)
+        why = owner.scheduler.never_runnable_reason(workload)
         if why:
             raise Refusal(Reason.CAN_NEVER_RUN, step="submit", message=why)
         waiting = owner.scheduler.shard.waiting.lane(workload).live
--- a/siskinroad/ledger.py
+++ b/siskinroad/ledger.py
@@ -94,7 +94,7 @@
         still places work, so the earlier claims count too.
     joined : dict of str to int
         Latest incarnation of each daemon that has been admitted.
-    whole : bool
+    is_complete : bool
         Whether the state is complete. It is not after records were trimmed from
         the log unread, until a snapshot has been read; no decision may then be
         based on it.
@@ -107,14 +107,14 @@
         self.joined: dict[str, int] = {}
         self.jobs: dict[str, JobState] = {}
         self.keys: dict[str, KeyState] = {}
-        self.whole = True
+        self.is_complete = True
         self.snapshot_as_of = 0
         self._assembler = SnapshotAssembler()
         self._pending: list[tuple[int, list[Record]]] = []
 
     def skip_to(self, first: int) -> None:
         """Continue at offset ``first``, as earlier records are no longer retained."""
-        self.whole = False
+        self.is_complete = False
         self.next_offset = first
         self._pending = []
         self._assembler = SnapshotAssembler()
@@ -127,13 +127,13 @@
         ProtocolError
             If a snapshot is corrupt.
         """
-        if not self.whole:
+        if not self.is_complete:
             self._pending.append((offset, records))
         for index, record in enumerate(records):
             match record:
                 case SnapshotPart():
                     self._apply_part(record)
-                case _ if self.whole:
+                case _ if self.is_complete:
                     self._apply_record(offset, index, record)
         self.next_offset = offset + 1
 
@@ -219,7 +219,7 @@
             return
         self.snapshot_as_of = max(self.snapshot_as_of, part.as_of)
         covered = self._pending and self._pending[0][0] <= part.as_of
-        if not self.whole and covered:
+        if not self.is_complete and covered:
             self._restore(data, part.as_of)
 
     def _restore(self, data: bytes, as_of: int) -> None:
@@ -231,7 +231,7 @@
         self.claims, self.replaced = saved.claims, saved.replaced
         self.joined = saved.joined
         self.jobs, self.keys = saved.jobs, saved.keys
-        self.whole = True
+        self.is_complete = True
         pending, self._pending = self._pending, []
         for offset, records in pending:
             if offset < as_of:
--- a/siskinroad/limits.py
+++ b/siskinroad/limits.py
@@ -52,20 +52,20 @@
     def __post_init__(self) -> None:
         self.limit = float(self.slots)
 
-    def success(self) -> int:
+    def record_success(self) -> int:
         """Record a success and return the new limit."""
         self.limit = min(self.limit + INCREASE / self.limit, float(self.slots))
-        return self.whole
+        return self.whole_tasks
 
-    def failure(self, now: float) -> int:
+    def record_failure(self, now: float) -> int:
         """Record a failure of the host and return the new limit."""
         if now - self.lowered_at >= MIN_DECREASE_INTERVAL:
             self.limit = max(self.limit * DECREASE_FACTOR, MIN_LIMIT)
             self.lowered_at = now
-        return self.whole
+        return self.whole_tasks
 
     @property
-    def whole(self) -> int:
+    def whole_tasks(self) -> int:
         """Limit as a whole number of tasks."""
         return max(int(self.limit + 1e-9), 1)
 
@@ -131,14 +131,14 @@
     limit: int
     held: int = 0
 
-    def take(self, count: int, urgency: Urgency) -> bool:
+    def reserve(self, count: int, urgency: Urgency) -> bool:
         """Reserve ``count`` bytes unless that exceeds the limit of the class."""
         if self.held + count > self.limit * SHED_FRACTION[urgency]:
             return False
         self.held += count
         return True
 
-    def give_back(self, count: int) -> None:
+    def release(self, count: int) -> None:
         """Release reserved bytes."""
         self.held -= count
 
--- a/siskinroad/load_reports.py
+++ b/siskinroad/load_reports.py
@@ -14,7 +14,7 @@
 
     Attributes
     ----------
-    abroad : dict of str to ShardLoad
+    remote_loads : dict of str to ShardLoad
         Load of the shards of other data centres.
     incarnations : dict of str to int
         Incarnation of each daemon of another data centre that owns shards.
@@ -25,12 +25,12 @@
     def __init__(self, place: Place, members: Membership) -> None:
         self.place = place
         self.members = members
-        self.abroad: dict[str, ShardLoad] = {}
+        self.remote_loads: dict[str, ShardLoad] = {}
         self.incarnations: dict[str, int] = {}
         self.revisions: dict[str, int] = {}
         self._last_stamps: dict[str, int] = {}
 
-    def hear_digest(self, msg: Digest, now: float) -> bool:
+    def apply_digest(self, msg: Digest, now: float) -> bool:
         """Apply another data centre's digest; return False if it is not newer."""
         if msg.data_centre == self.place.data_centre:
             return False
@@ -39,19 +39,19 @@
         self._last_stamps[msg.name] = msg.stamp
         self.revisions[msg.data_centre] = msg.revision
         place = Place(msg.data_centre, msg.region)
-        for name in [n for n, load in self.abroad.items() if load.place == place]:
-            del self.abroad[name]
+        for name in [n for n, load in self.remote_loads.items() if load.place == place]:
+            del self.remote_loads[name]
         for update in msg.shards:
             owner, incarnation = msg.owners.get(update.shard, ("", 0))
             self.incarnations[owner] = incarnation
-            self.abroad[update.shard] = _shard_load(update, owner, place, now)
+            self.remote_loads[update.shard] = _shard_load(update, owner, place, now)
         return True
 
-    def near(self, now: float) -> dict[str, ShardLoad]:
+    def local_loads(self, now: float) -> dict[str, ShardLoad]:
         """Return the load of this data centre's shards that other daemons own."""
         loads: dict[str, ShardLoad] = {}
         epochs: dict[str, int] = {}
-        for member in self.members.alive(now):
+        for member in self.members.alive_members(now):
             for update in member.shards:
                 if update.epoch > epochs.get(update.shard, -1):
                     epochs[update.shard] = update.epoch
--- a/siskinroad/log_reader.py
+++ b/siskinroad/log_reader.py
@@ -132,7 +132,7 @@
 
     def is_reading(self, now: float) -> bool:
         """Return whether this daemon reads the log itself at ``now``."""
-        if self.members.reader(now) == self.name:
+        if self.members.log_reader_name(now) == self.name:
             return True
         return any(
             now - s.tail_received_at > TAIL_TIMEOUT for s in self.streams.values()
@@ -166,7 +166,7 @@
 
     async def _read_all(self) -> bool:
         now = asyncio.get_running_loop().time()
-        stamps = {m.name: m.stamp for m in self.members.alive(now)}
+        stamps = {m.name: m.stamp for m in self.members.alive_members(now)}
         results = [await self._read(stream) for stream in self.streams.values()]
         if not all(results):
             self.failures += 1
@@ -229,9 +229,9 @@
         self, stream: Stream, start: int, records: list[bytes]
     ) -> None:
         now = asyncio.get_running_loop().time()
-        if self.members.reader(now) != self.name:
+        if self.members.log_reader_name(now) != self.name:
             return
-        for member in self.members.alive(now):
+        for member in self.members.alive_members(now):
             self.send(member.name, LogRecords(stream.name, start, records))
 
     # Messages from peers
@@ -270,11 +270,13 @@
         if now - stream.fetch_sent_at < FETCH_INTERVAL:
             return
         stream.fetch_sent_at = now
-        reader = self.members.reader(now)
-        if reader == self.name:
+        log_reader_name = self.members.log_reader_name(now)
+        if log_reader_name == self.name:
             self.wake()
         else:
-            self.send(reader, LogFetch(self.name, stream.name, stream.next_offset()))
+            self.send(
+                log_reader_name, LogFetch(self.name, stream.name, stream.next_offset())
+            )
 
     def handle_fetch(self, msg: LogFetch) -> None:
         """Send a lagging peer the recent records that it requests.
--- a/siskinroad/membership.py
+++ b/siskinroad/membership.py
@@ -6,10 +6,10 @@
 
 from siskinroad.messages import Heartbeat, ShardUpdate
 
-__all__ = ["HEARTBEAT_TIME", "HEARTBEAT_TIMEOUT", "Member", "Membership"]
+__all__ = ["HEARTBEAT_INTERVAL", "HEARTBEAT_TIMEOUT", "Member", "Membership"]
 
 # Seconds between two heartbeats to each daemon of the data centre.
-HEARTBEAT_TIME = 0.5
+HEARTBEAT_INTERVAL = 0.5
 # Seconds without a heartbeat after which a member counts as dead. Three heartbeats
 # fit in, so that one or two lost ones do not make a live member look dead; a larger
 # value delays the replacement of a dead owner.
@@ -31,7 +31,7 @@
         than ``HEARTBEAT_TIMEOUT``.
     echoed_stamp : float
         Latest of this daemon's own stamps that the member has echoed.
-    contests : frozenset of str
+    claimed_shards : frozenset of str
         Shards that the member had claimed, or may have claimed, when it sent
         that echo.
     stamp : float
@@ -43,7 +43,7 @@
     last_heartbeat: float
     alive_since: float
     echoed_stamp: float = float("-inf")
-    contests: frozenset[str] = frozenset()
+    claimed_shards: frozenset[str] = frozenset()
     stamp: float = 0.0
     draining: bool = False
     joined: bool = False
@@ -60,7 +60,7 @@
         self.members: dict[str, Member] = {}
         self.draining = False
 
-    def hear(self, msg: Heartbeat, now: float) -> bool:
+    def record_heartbeat(self, msg: Heartbeat, now: float) -> bool:
         """Record a heartbeat; return whether the member is new or restarted.
 
         Ignore heartbeats of an earlier incarnation and ones that arrive out of
@@ -93,9 +93,9 @@
         member.shards = msg.shards
         if msg.echo is not None and msg.echo.stamp >= member.echoed_stamp:
             member.echoed_stamp = msg.echo.stamp
-            member.contests = frozenset(msg.echo.contests)
+            member.claimed_shards = frozenset(msg.echo.claimed_shards)
 
-    def alive(self, now: float) -> list[Member]:
+    def alive_members(self, now: float) -> list[Member]:
         """Return the members whose last heartbeat is within ``HEARTBEAT_TIMEOUT``."""
         return [
             m
@@ -110,17 +110,17 @@
             return False
         return now - member.alive_since >= MIN_STABLE_TIME
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Remove a member that the platform has terminated."""
         self.members.pop(name, None)
 
-    def reader(self, now: float) -> str:
+    def log_reader_name(self, now: float) -> str:
         """Return the daemon that reads the log for the data centre.
 
         This is the lowest name among the live daemons that are not draining. A
         draining daemon reads the log only if there is no other.
         """
-        names = [m.name for m in self.alive(now) if not m.draining]
+        names = [m.name for m in self.alive_members(now) if not m.draining]
         if self.draining and names:
             return min(names)
         return min([*names, self.name])
--- a/siskinroad/messages.py
+++ b/siskinroad/messages.py
@@ -49,12 +49,12 @@
 class Echo(msgspec.Struct, frozen=True, array_like=True):
     """Echo of a peer's latest stamp, with the shards that the sender has claimed.
 
-    ``contests`` lists the shards on which the sender has or may have a claim; on all
-    others the echo confirms the receiver's claim.
+    ``claimed_shards`` lists the shards on which the sender has or may have a claim; on
+    all others the echo confirms the receiver's claim.
     """
 
     stamp: float
-    contests: list[str]
+    claimed_shards: list[str]
 
 
 class Heartbeat(msgspec.Struct, tag="hb", frozen=True):
--- a/siskinroad/operators.py
+++ b/siskinroad/operators.py
@@ -101,7 +101,7 @@
                 return json_response(200, body)
             case "POST":
                 cell = parse_cell(text)
-                config.check_moves(cell)
+                config.check_no_host_moves(cell)
                 lines = diff(config.cell, cell)
                 return json_response(200, {"revision": config.revision, "diff": lines})
             case "PUT":
--- a/siskinroad/owner.py
+++ b/siskinroad/owner.py
@@ -50,7 +50,7 @@
         self.epoch = epoch
         self.ports = ports
         self.scheduler = Scheduler(cell, ports.rng, now)
-        self.scheduler.paused = True
+        self.scheduler.is_paused = True
         self.stale = False
         self.monitors: dict[str, HostMonitor] = {}
         self.requests = RequestTable(self)
@@ -94,7 +94,7 @@
 
     def suspend(self, *, requests: bool = False) -> None:
         """Place no work until resumed; with ``requests``, still place requests."""
-        self.scheduler.paused = not requests
+        self.scheduler.is_paused = not requests
         self.scheduler.requests_only = requests
 
     async def release(self) -> None:
@@ -114,7 +114,7 @@
         received them from callers send them to the next owner.
         """
         self.closed = True
-        self.scheduler.paused = True
+        self.scheduler.is_paused = True
         self.requests.refuse_unsent()
         for task in self._tasks - self._in_flight:
             task.cancel()
@@ -234,7 +234,7 @@
 
     def free_slots(self) -> int:
         """Return the free slots on all hosts; 0 while no work is placed."""
-        if self.scheduler.paused:
+        if self.scheduler.is_paused:
             return 0
         pools = self.scheduler.shard.pools.values()
         return sum(state.index.free_slots for state in pools)
--- a/siskinroad/owner_context.py
+++ b/siskinroad/owner_context.py
@@ -24,7 +24,7 @@
     ----------
     may_place : callable
         Returns whether requests may be sent to the shard's hosts now.
-    is_certain : callable
+    may_start_tasks : callable
         Returns whether ownership is certain, so that tasks may be started now.
     record_end : callable
         Stores the final outcome of a task, given job, task index and outcome;
@@ -37,7 +37,7 @@
 
     upstreams: UpstreamClient
     may_place: Callable[[], bool]
-    is_certain: Callable[[], bool]
+    may_start_tasks: Callable[[], bool]
     record_end: Callable[[str, int, str], asyncio.Future[int]]
     count_event: Callable[[str, str], None]
     observe_wait: Callable[[Workload, float], None]
--- a/siskinroad/ownership.py
+++ b/siskinroad/ownership.py
@@ -160,7 +160,7 @@
         self.ledger = ledger
         self.members = members
         self.shards: dict[str, bool] = {}
-        self.gone: set[str] = set()
+        self.terminated: set[str] = set()
         self.draining = False
         self.shard_claims: dict[str, ShardClaim] = {}
         self.confirmed = float("-inf")
@@ -174,15 +174,15 @@
         """Set the data centre's shards, each with whether its hosts check epochs."""
         self.shards = dict(shards)
 
-    def set_gone(self, names: set[str]) -> None:
+    def set_terminated(self, names: set[str]) -> None:
         """Set the daemons that the platform lists as terminated."""
-        self.gone = set(names)
+        self.terminated = set(names)
 
     def log_confirmed(self, stamp: float) -> None:
         """Record that a read begun at ``stamp`` reached the end of the log."""
         self.confirmed = max(self.confirmed, stamp)
 
-    def taken(self, shard: str, epoch: int) -> bool:
+    def finish_takeover(self, shard: str, epoch: int) -> bool:
         """Record that the hosts were queried; return whether the claim is in force."""
         shard_claim = self.shard_claims.get(shard)
         if (
@@ -196,17 +196,17 @@
 
     # Queries
 
-    def contests(self) -> list[str]:
+    def claimed_shards(self) -> list[str]:
         """Return the shards that this daemon has claimed or may have claimed."""
         return [s for s, h in self.shard_claims.items() if h.state != "idle"]
 
-    def admits(self) -> list[str]:
+    def required_peers(self) -> list[str]:
         """Return the daemons whose statements a confirmation by peers needs."""
         names = set(self.ledger.joined)
         names |= {m.name for m in self.members.members.values() if m.joined}
-        return sorted(names - {self.name} - self.gone)
+        return sorted(names - {self.name} - self.terminated)
 
-    def joined(self) -> bool:
+    def is_admitted(self) -> bool:
         """Return whether this incarnation has been admitted."""
         return self.ledger.joined.get(self.name) == self.incarnation
 
@@ -228,7 +228,7 @@
         fenced = self.shards.get(shard, False)
         return self._holds_claim(shard) and (fenced or now < self.lease_until(shard))
 
-    def is_certain(self, shard: str, now: float) -> bool:
+    def may_start_tasks(self, shard: str, now: float) -> bool:
         """Return whether tasks may be started at ``now``.
 
         This needs an unexpired lease, also on hosts that refuse lower epochs: a
@@ -243,13 +243,13 @@
         return not self._is_claim_lost(shard, shard_claim)
 
     def _peers_confirmed_at(self, shard: str) -> float:
-        names = self.admits()
+        names = self.required_peers()
         if not names:
             return float("-inf")
         oldest = float("inf")
         for name in names:
             member = self.members.members.get(name)
-            if member is None or shard in member.contests:
+            if member is None or shard in member.claimed_shards:
                 return float("-inf")
             oldest = min(oldest, member.echoed_stamp)
         return oldest
@@ -265,7 +265,7 @@
 
         Call this after each input, and every 0.1 s without one.
         """
-        if not self.ledger.whole:
+        if not self.ledger.is_complete:
             return []
         effects = self._request_admission(now)
         for shard in sorted(self.shards):
@@ -276,7 +276,7 @@
 
     def _request_admission(self, now: float) -> list[OwnershipEffect]:
         if (
-            self.joined()
+            self.is_admitted()
             or self.draining
             or now < self._join_attempted_at + CLAIM_RETRY_INTERVAL
         ):
@@ -304,7 +304,7 @@
         claim = self.ledger.claims.get(shard)
         if claim is not None and self._is_late_claim(claim, shard_claim):
             return self._adopt_late_claim(shard, shard_claim, claim, now)
-        if now < shard_claim.retry_at or self.draining or not self.joined():
+        if now < shard_claim.retry_at or self.draining or not self.is_admitted():
             return []
         if self._preferred_owner(shard, claim, now) != self.name:
             return []
@@ -331,11 +331,15 @@
         return self._tick_claiming(shard, shard_claim, now)
 
     def _preferred_owner(self, shard: str, claim: Claim | None, now: float) -> str:
-        alive = self.members.alive(now)
+        alive_members = self.members.alive_members(now)
         is_held = claim is not None and not claim.released
-        if is_held and claim and any(member.name == claim.daemon for member in alive):
+        if (
+            is_held
+            and claim
+            and any(member.name == claim.daemon for member in alive_members)
+        ):
             return claim.daemon
-        names = [m.name for m in alive if m.joined and not m.draining]
+        names = [m.name for m in alive_members if m.joined and not m.draining]
         return rendezvous(shard, [*names, self.name])
 
     def _may_replace(self, claim: Claim, now: float) -> bool:
@@ -346,7 +350,11 @@
 
     def _has_stopped_placing(self, claim: Claim) -> bool:
         """Return whether the holder of a claim has certainly stopped placing work."""
-        if claim.released or claim.daemon in self.gone or claim.daemon == self.name:
+        if (
+            claim.released
+            or claim.daemon in self.terminated
+            or claim.daemon == self.name
+        ):
             return True
         member = self.members.members.get(claim.daemon)
         live_incarnation = member.incarnation if member is not None else 0
@@ -422,7 +430,7 @@
             return True
         candidates = [
             member.name
-            for member in self.members.alive(now)
+            for member in self.members.alive_members(now)
             if member.joined
             and not member.draining
             and self.members.is_stable(member.name, now)
@@ -448,7 +456,7 @@
         return []
 
     def _transition(self, shard_claim: ShardClaim, event: str) -> None:
-        shard_claim.state = self._chart.next(shard_claim.state, event)
+        shard_claim.state = self._chart.next_state(shard_claim.state, event)
 
 
 # Seconds between the confirmation of a claim and the takeover of the shard, by which
--- a/siskinroad/placement.py
+++ b/siskinroad/placement.py
@@ -76,7 +76,7 @@
             and self.capacity.slots - self.slots < self.limit
         )
 
-    def count(self, need: Resources) -> int:
+    def count_fitting(self, need: Resources) -> int:
         """Return how many tasks that each take ``need`` fit on the host."""
         free_tasks = min(self.slots, self.limit - (self.capacity.slots - self.slots))
         best = free_tasks // max(need.slots, 1)
@@ -181,14 +181,16 @@
         best = max(range(len(parts)), key=parts.__getitem__)
         return self._rows[best], int(parts[best] * self._level_counts[best])
 
-    def take(self, host: HostView, task: str, need: Resources, workload: str) -> None:
+    def allocate(
+        self, host: HostView, task: str, need: Resources, workload: str
+    ) -> None:
         """Allocate ``need`` on a host to a task."""
         assert task not in host.tasks
         host.tasks[task] = need
         host.members[workload] = host.members.get(workload, 0) + 1
-        self._change(host, need, -1)
+        self._adjust(host, need, -1)
 
-    def give_back(self, host: HostView, task: str, workload: str) -> None:
+    def release(self, host: HostView, task: str, workload: str) -> None:
         """Release the resources of a task."""
         need = host.tasks.pop(task)
         remaining = host.members[workload] - 1
@@ -196,17 +198,17 @@
             host.members[workload] = remaining
         else:
             del host.members[workload]
-        self._change(host, need, 1)
+        self._adjust(host, need, 1)
 
     def resize(self, host: HostView, task: str, need: Resources) -> None:
         """Change the allocation of a task, up to the free capacity of the host."""
-        self._change(host, host.tasks[task], 1)
+        self._adjust(host, host.tasks[task], 1)
         free = Resources(host.cpu, host.memory, need.accelerators, need.slots)
         need = need.clip(free)
         host.tasks[task] = need
-        self._change(host, need, -1)
+        self._adjust(host, need, -1)
 
-    def _change(self, host: HostView, need: Resources, sign: int) -> None:
+    def _adjust(self, host: HostView, need: Resources, sign: int) -> None:
         host.cpu += sign * need.cpu_milli
         host.memory += sign * need.memory_mib
         host.accelerators += sign * need.accelerators
@@ -218,7 +220,7 @@
             self.free_slots += sign * need.slots
         self.refresh(host)
 
-    def tightest(
+    def best_fit(
         self, need: Resources, avoid: set[str], reserved: set[str]
     ) -> HostView | None:
         """Return the fitting host with the least free capacity, accelerators first.
@@ -240,7 +242,7 @@
             lambda host: (host.accelerators, host.memory),
         )
 
-    def widest(
+    def least_loaded(
         self, need: Resources, avoid: set[str], reserved: set[str], workload: str
     ) -> HostView | None:
         """Return a fitting host from among those with the most free capacity.
@@ -279,7 +281,7 @@
                 break
         return min(found, key=key) if found else None
 
-    def whole(
+    def place_gang(
         self, need: Resources, size: int, avoid: set[str], reserved: set[str]
     ) -> list[tuple[HostView, int]] | None:
         """Return hosts for a gang of ``size`` tasks, each with its count, or None.
@@ -294,13 +296,13 @@
         for host in self._descending(need):
             if host.name in excluded:
                 continue
-            fit_count = host.count(need)
+            fit_count = host.count_fitting(need)
             if fit_count <= 0:
                 continue
             if fit_count >= remaining:
                 taken = excluded | {view.name for view, _ in chosen}
-                tightest_host = self.tightest(need.times(remaining), taken, set())
-                chosen.append((tightest_host or host, remaining))
+                best_fit_host = self.best_fit(need.times(remaining), taken, set())
+                chosen.append((best_fit_host or host, remaining))
                 return chosen
             chosen.append((host, fit_count))
             remaining -= fit_count
--- a/siskinroad/preemption.py
+++ b/siskinroad/preemption.py
@@ -95,7 +95,7 @@
             view.limit = 0
         elif view.name in self._closed_hosts:
             self._closed_hosts.discard(view.name)
-            limit = self.shard.limits[view.name].whole
+            limit = self.shard.limits[view.name].whole_tasks
             view.limit = 1 if view.state == "probation" else limit
 
     def _runs_on(self, view: HostView) -> list[Running]:
--- a/siskinroad/publisher.py
+++ b/siskinroad/publisher.py
@@ -112,9 +112,9 @@
             return await self._await_in_force(config.revision, False, wait)
         if expect is not None and expect != config.revision:
             raise _conflict_error(config.revision)
-        config.check_moves(cell)
+        config.check_no_host_moves(cell)
         base = config.revision
-        offset = await self.append(config.successor(text, key), APPEND_TIMEOUT)
+        offset = await self.append(config.make_revision(text, key), APPEND_TIMEOUT)
         try:
             await self.wait_applied(offset)
         except TimeoutError:
@@ -139,7 +139,7 @@
     def _split_by_revision(
         self, revision: int, now: float
     ) -> tuple[list[str], list[str]]:
-        seen_revisions = {m.name: m.revision for m in self.members.alive(now)}
+        seen_revisions = {m.name: m.revision for m in self.members.alive_members(now)}
         seen_revisions[self.name] = self.configuration.revision
         seen_revisions.update(self.loads.revisions)
         current = [name for name, known in seen_revisions.items() if known >= revision]
--- a/siskinroad/queues.py
+++ b/siskinroad/queues.py
@@ -55,7 +55,7 @@
         Bytes passed to the host that runs the item.
     started : float
         Loop time of the last start.
-    hold_until : float
+    backoff_until : float
         Loop time at which the backoff after a failure ends; 0 outside of a backoff.
     """
 
@@ -69,7 +69,7 @@
     avoid: set[str] = field(default_factory=set)
     payload: bytes = b""
     started: float = 0.0
-    hold_until: float = 0.0
+    backoff_until: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
--- a/siskinroad/request_handler.py
+++ b/siskinroad/request_handler.py
@@ -12,7 +12,7 @@
 from siskinroad.forwarding import Forwarder
 from siskinroad.messages import Forward
 from siskinroad.ownership import rendezvous
-from siskinroad.routing import Place, ShardLoad, choose
+from siskinroad.routing import Place, ShardLoad, choose_shard
 from siskinroad.upstreams import UpstreamResponse
 
 __all__ = ["Request", "RequestHandler", "home_data_centre_of"]
@@ -134,7 +134,7 @@
         if req.key:
             home = home_data_centre_of(cell, req.workload, req.key, self.place)
             loads = [load for load in loads if load.place.data_centre == home]
-        return choose(req.workload, loads, self.place, tried, now, self.rng)
+        return choose_shard(req.workload, loads, self.place, tried, now, self.rng)
 
     def _no_owner_refusal(self, req: Request) -> Refusal:
         reason = Reason.HOME_UNREACHABLE if req.key else Reason.NO_OWNER
--- a/siskinroad/routing.py
+++ b/siskinroad/routing.py
@@ -7,7 +7,7 @@
 
 from siskinroad.cell import Locality, Workload
 
-__all__ = ["Place", "ShardLoad", "choose"]
+__all__ = ["Place", "ShardLoad", "choose_shard"]
 
 # Network time of one hop, in seconds, by distance.
 HOP_TIME = {Locality.DATA_CENTRE: 0.0, Locality.REGION: 0.001, Locality.ANYWHERE: 0.024}
@@ -46,7 +46,7 @@
         Free slots, each with capacity for one more request.
     waits : dict of str to float
         Expected waiting time in seconds by workload, where it is not zero.
-    heard : float
+    received_at : float
         Loop time at which the report arrived.
     """
 
@@ -56,10 +56,10 @@
     place: Place
     free: int
     waits: dict[str, float]
-    heard: float
+    received_at: float
 
 
-def choose(
+def choose_shard(
     workload: Workload,
     loads: list[ShardLoad],
     here: Place,
@@ -98,7 +98,7 @@
     limit = (
         STALE_AFTER_LOCAL if distance is Locality.DATA_CENTRE else STALE_AFTER_REMOTE
     )
-    return now - load.heard > limit
+    return now - load.received_at > limit
 
 
 def _cost(workload: Workload, load: ShardLoad, distance: Locality) -> float:
--- a/siskinroad/scheduler.py
+++ b/siskinroad/scheduler.py
@@ -44,7 +44,7 @@
 
     Attributes
     ----------
-    paused : bool
+    is_paused : bool
         Whether starts are suspended; everything else continues.
     requests_only : bool
         Whether only requests may start.
@@ -55,7 +55,7 @@
         self.attempts = Attempts(self.shard)
         self.dispatcher = Dispatcher(self.shard, self.attempts)
         self.preemption = Preemption(self.shard, self.attempts)
-        self.paused = False
+        self.is_paused = False
         self._chart = load_chart("attempt")
         self._host_chart = load_chart("upstream")
 
@@ -88,11 +88,11 @@
         if view is None or not self._host_chart.allows(view.state, event):
             return []
         before = view.state
-        view.state = self._host_chart.next(before, event)
+        view.state = self._host_chart.next_state(before, event)
         if view.state == before:
             return []
         view.open = view.state in ("live", "probation")
-        limit = self.shard.limits[name].whole
+        limit = self.shard.limits[name].whole_tasks
         view.limit = 1 if view.state == "probation" else limit
         self.shard.pool_state(name).index.refresh(view)
         self.shard.update_capacity(now)
@@ -126,7 +126,7 @@
         """Queue an item, or refuse it if it fails the admission checks."""
         refusal = self._admission_refusal(item, now)
         if refusal is not None:
-            item.state = self._chart.next(item.state, "refuse")
+            item.state = self._chart.next_state(item.state, "refuse")
             return [Refused(item, refusal)]
         if item.workload.kind == "service":
             self.shard.budget(item.workload.owner).earn()
@@ -143,7 +143,7 @@
         if state is None:
             return effects
         state.headroom.count_arrival(now)
-        if item.state == "waiting" and not self.paused:
+        if item.state == "waiting" and not self.is_paused:
             effects += self.preemption.preempt_for_urgent(state)
         return effects
 
@@ -151,7 +151,7 @@
         workload = item.workload
         if item.key in self.shard.items:
             return Refusal(Reason.KEY_IN_PROGRESS, step="submit")
-        reason = self.why_never(workload)
+        reason = self.never_runnable_reason(workload)
         if reason:
             return Refusal(Reason.CAN_NEVER_RUN, step="submit", message=reason)
         lane = self.shard.waiting.lane(workload)
@@ -166,14 +166,14 @@
             return Refusal(Reason.DEADLINE, step="submit", retry_after=wait)
         return None
 
-    def why_never(self, workload: Workload) -> str:
+    def never_runnable_reason(self, workload: Workload) -> str:
         """Return why a workload can never run in this shard, or an empty string."""
         state = self.shard.pools.get(workload.pool)
         if state is None:
             return f"no host of {workload.pool} belongs to this shard"
         if not workload.demand.fits(state.pool.capacity):
             return f"one task needs more than a whole host of {workload.pool}"
-        per_host = HostView("", "", state.pool.capacity).count(workload.demand)
+        per_host = HostView("", "", state.pool.capacity).count_fitting(workload.demand)
         max_members = per_host * len(state.index.hosts)
         if workload.size > max_members:
             return (
@@ -196,7 +196,7 @@
             return [self._refuse_waiting(item, refusal, event="cancel")]
         if not self._chart.allows(item.state, "cancel"):
             return []
-        item.state = self._chart.next(item.state, "cancel")
+        item.state = self._chart.next_state(item.state, "cancel")
         run = self.shard.running[key]
         run.stopping = True
         return self.attempts.control(run, Control.STOP)
@@ -204,8 +204,8 @@
     def _refuse_waiting(
         self, item: Item, refusal: Refusal, event: str = "refuse"
     ) -> Refused:
-        is_backing_off = item.hold_until > 0
-        item.state = self._chart.next(item.state, event)
+        is_backing_off = item.backoff_until > 0
+        item.state = self._chart.next_state(item.state, event)
         del self.shard.items[item.key]
         if is_backing_off:
             self.attempts.drop_backing_off(item)
@@ -268,7 +268,7 @@
         self.shard.accounts.tick(milliseconds(now))
         self.dispatcher.unblock_some()
         effects += self._dispatch(now)
-        if not self.paused:
+        if not self.is_paused:
             effects += self._preempt(now)
         return effects
 
@@ -284,8 +284,8 @@
         return min(deadline, self.attempts.next_backoff_end(), math.inf)
 
     def resume(self, now: float) -> list[Effect]:
-        """Allow starts again after ``paused`` or ``requests_only`` was set."""
-        self.paused = False
+        """Allow starts again after ``is_paused`` or ``requests_only`` was set."""
+        self.is_paused = False
         self.requests_only = False
         self.dispatcher.unblock_all()
         return self._dispatch(now)
@@ -300,10 +300,10 @@
         self.dispatcher.requests_only = value
 
     def _use_free_capacity(self, view: HostView, now: float) -> list[Effect]:
-        if self.paused:
+        if self.is_paused:
             return []
         filled = list(self.dispatcher.fill(view, now)) if view.open else []
         return filled + self._dispatch(now)
 
     def _dispatch(self, now: float) -> list[Effect]:
-        return [] if self.paused else list(self.dispatcher.dispatch(now))
+        return [] if self.is_paused else list(self.dispatcher.dispatch(now))
--- a/siskinroad/shard.py
+++ b/siskinroad/shard.py
@@ -151,7 +151,7 @@
     def remove_host(self, name: str, now: float) -> None:
         """Remove a host that runs no task."""
         self.pools[self.pool_of.pop(name)].index.remove(name)
-        self.health.forget(name)
+        self.health.remove_host(name)
         del self.limits[name]
         self.update_capacity(now)
 
--- a/siskinroad/shards.py
+++ b/siskinroad/shards.py
@@ -120,8 +120,8 @@
     def set_listed(self, listed: dict[str, HostState]) -> None:
         """Apply the platform's list of the data centre's hosts."""
         self.listed = listed
-        gone = {name for name, state in listed.items() if state is HostState.GONE}
-        self.ownership.set_gone(gone)
+        terminated = {name for name, state in listed.items() if state is HostState.GONE}
+        self.ownership.set_terminated(terminated)
         for owner in self.owners.values():
             self._apply_list(owner)
 
@@ -203,7 +203,7 @@
         await owner.take_over()
         if self.owners.get(shard) is not owner:
             return
-        if not self.ownership.taken(shard, effect.epoch):
+        if not self.ownership.finish_takeover(shard, effect.epoch):
             self._drop(shard)
             return
         owner.resume()
@@ -214,7 +214,7 @@
         return OwnerPorts(
             self.upstreams,
             lambda: self.ownership.may_place(shard, self._now()),
-            lambda: self.ownership.is_certain(shard, self._now()),
+            lambda: self.ownership.may_start_tasks(shard, self._now()),
             self._record_end,
             self._count_owner_event,
             self._observe_wait,
@@ -303,7 +303,7 @@
         return [
             ShardUpdate(shard, owner.epoch, owner.free_slots(), owner.waits())
             for shard, owner in self.owners.items()
-            if not owner.scheduler.paused
+            if not owner.scheduler.is_paused
         ]
 
     def loads(self) -> list[ShardLoad]:
--- a/siskinroad/snapshotter.py
+++ b/siskinroad/snapshotter.py
@@ -53,9 +53,9 @@
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(CHECK_INTERVAL)
-            if not self.daemon.ledger.whole:
+            if not self.daemon.ledger.is_complete:
                 self.daemon.periodic.want_snapshot()
-            if self.daemon.members.reader(loop.time()) == self.daemon.cfg.name:
+            if self.daemon.members.log_reader_name(loop.time()) == self.daemon.cfg.name:
                 await self._write_due(loop.time())
 
     async def _write_due(self, now: float) -> None:
@@ -68,7 +68,10 @@
     def write_on_request(self) -> None:
         """Write a snapshot of the ledger for a peer that missed trimmed records."""
         now = asyncio.get_running_loop().time()
-        if self.daemon.ledger.whole and now - self._last_request_at >= REQUEST_INTERVAL:
+        if (
+            self.daemon.ledger.is_complete
+            and now - self._last_request_at >= REQUEST_INTERVAL
+        ):
             self._last_request_at = now
             task = asyncio.get_running_loop().create_task(self._write_ledger(now))
             self._tasks.add(task)
@@ -82,7 +85,7 @@
 
     async def _write_ledger(self, now: float) -> None:
         ledger = self.daemon.ledger
-        if ledger.whole:
+        if ledger.is_complete:
             self._last_ledger = (ledger.next_offset, now)
             data = ledger.encode()
             await self._write(self.daemon.appender, ledger.next_offset, data)
--- a/siskinroad/status.py
+++ b/siskinroad/status.py
@@ -111,11 +111,13 @@
         daemon.state,
         daemon.configuration.revision,
         "; ".join(stop_reasons) or log,
-        daemon.members.reader(now),
-        sorted(m.name for m in daemon.members.alive(now)),
-        daemon.ownership.admits(),
+        daemon.members.log_reader_name(now),
+        sorted(m.name for m in daemon.members.alive_members(now)),
+        daemon.ownership.required_peers(),
         sorted(
-            m.name for m in daemon.members.alive(now) if daemon.cfg.name in m.admits
+            m.name
+            for m in daemon.members.alive_members(now)
+            if daemon.cfg.name in m.admits
         ),
         sorted(daemon.load_table.revisions),
         shards,
@@ -208,10 +210,13 @@
     if item is None:
         return ""
     waited = _loop_time() - item.enqueued
-    if owner.scheduler.paused:
+    if owner.scheduler.is_paused:
         why = "it is uncertain whether this daemon still owns the hosts"
-    elif item.hold_until > 0:
-        why = f"it failed and will be retried in {item.hold_until - _loop_time():.1f} s"
+    elif item.backoff_until > 0:
+        why = (
+            "it failed and will be retried in "
+            f"{item.backoff_until - _loop_time():.1f} s"
+        )
     else:
         why = blocked_reason(state, item)
     return f"{key} has waited {waited:.1f} s: {why}."
@@ -223,7 +228,7 @@
     capacity = [0, 0, 0]
     for owner in daemon.shards.owners.values():
         accounts = owner.scheduler.shard.accounts
-        accounts.settle(milliseconds(_loop_time()))
+        accounts.apportion_span(milliseconds(_loop_time()))
         _add_accounts(accounts, totals, capacity)
     sums = [
         sum(x.used.values[d] + x.idle.values[d] for x in totals.values())
--- a/siskinroad/suspend_detector.py
+++ b/siskinroad/suspend_detector.py
@@ -21,7 +21,7 @@
         boot = time.clock_gettime(time.CLOCK_BOOTTIME)
         return boot - time.clock_gettime(time.CLOCK_MONOTONIC)
 
-    def suspended(self) -> float:
+    def take_suspended_s(self) -> float:
         """Return the seconds of suspension since the last call, 0 if there was none."""
         offset = self._read_offset()
         suspended_s = offset - self._offset
--- a/siskinroad/tasks.py
+++ b/siskinroad/tasks.py
@@ -175,7 +175,7 @@
         monitor = owner.monitors[effect.hosts[member]]
         start = _make_task_start(effect, member)
         try:
-            if not owner.ports.is_certain():
+            if not owner.ports.may_start_tasks():
                 raise NotSentError("ownership of the shard is uncertain", step="owner")
             await owner.ports.upstreams.start(monitor.host, owner.epoch, start)
             owner.scheduler.started(key)
--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -286,7 +286,7 @@
 
     async def _run_heartbeats(self) -> None:
         while True:
-            if self._suspend_detector.suspended():
+            if self._suspend_detector.take_suspended_s():
                 log.warning(
                     "daemon: process was suspended; owners must confirm their claims"
                 )
--- a/siskinroad/work/host.py
+++ b/siskinroad/work/host.py
@@ -82,7 +82,7 @@
 
     def move(self, event: str) -> None:
         """Apply an event of the ``run`` chart."""
-        self.state = _RUN_CHART.next(self.state, event)
+        self.state = _RUN_CHART.next_state(self.state, event)
 
     def allows(self, event: str) -> bool:
         """Return whether the chart has ``event`` in this state."""
--- a/siskinroad/work/job.py
+++ b/siskinroad/work/job.py
@@ -60,7 +60,7 @@
 
     def move(self, event: str) -> None:
         """Apply an event of the ``task`` chart."""
-        self.state = _TASK.next(self.state, event)
+        self.state = _TASK.next_state(self.state, event)
 
     def allows(self, event: str) -> bool:
         """Return whether the chart has ``event`` in this state."""
--- a/siskinroad/work/jobbook.py
+++ b/siskinroad/work/jobbook.py
@@ -124,7 +124,7 @@
         ]
         for job_id in expired:
             del self.jobs[job_id]
-            self.health.forget_workload(job_id)
+            self.health.remove_workload(job_id)
         return expired
 
     def allowed(self, job: Job) -> float:
--- a/siskinroad/work/steward.py
+++ b/siskinroad/work/steward.py
@@ -213,7 +213,7 @@
         if now >= until:
             host.resting = False
             del self._quarantined_until[host.name]
-            self.book.health.forget(host.name)
+            self.book.health.remove_host(host.name)
             log.info("steward: host leaves quarantine", extra={"host": host.name})
 
     def _throttle_best_effort(self, host: Host, now: float) -> list[Effect]:
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -35,7 +35,7 @@
             held[name] -= 1
             accounts.change(name, member, -1, now)
         accounts.tick(now)
-    accounts.settle(now)
+    accounts.apportion_span(now)
     totals = accounts.totals()
     for dim, size in enumerate((320_000, 999_999, 7)):
         spans = totals.values()
--- a/tests/test_charts.py
+++ b/tests/test_charts.py
@@ -24,4 +24,4 @@
 def test_an_event_not_allowed_in_a_state_raises():
     chart = load_chart("attempt")
     with pytest.raises(ProtocolError, match=r"chart\.attempt"):
-        chart.next("succeeded", "start")
+        chart.next_state("succeeded", "start")
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -24,8 +24,8 @@
 
 def test_only_the_first_of_two_successors_is_applied():
     one, two = Configuration(), Configuration()
-    first = one.successor(_cell_text(1), "k1")
-    second = two.successor(_cell_text(2), "k2")
+    first = one.make_revision(_cell_text(1), "k1")
+    second = two.make_revision(_cell_text(2), "k2")
     for config in (one, two):
         assert config.apply(1, [first])
         assert not config.apply(2, [second])
@@ -36,31 +36,33 @@
 
 def test_a_revision_record_holds_only_the_changed_lines():
     config = Configuration()
-    config.apply(1, [config.successor(_cell_text(1), "k1")])
-    record = config.successor(_cell_text(2), "k2")
+    config.apply(1, [config.make_revision(_cell_text(1), "k1")])
+    record = config.make_revision(_cell_text(2), "k2")
     assert len(encode_batch("a", [record])) < 150
 
 
 def test_an_older_revision_from_a_snapshot_or_peer_is_ignored():
     old, new = Configuration(), Configuration()
     for config in (old, new):
-        config.apply(1, [config.successor(_cell_text(1), "k1")])
-    new.apply(2, [new.successor(_cell_text(2), "k2")])
-    assert not new.adopt(old.whole())
+        config.apply(1, [config.make_revision(_cell_text(1), "k1")])
+    new.apply(2, [new.make_revision(_cell_text(2), "k2")])
+    assert not new.apply_if_newer(old.complete_revision())
     assert not new.apply(3, list(split_snapshot("s", 2, old.encode())))
     assert new.revision == 2
-    assert old.adopt(new.whole())
+    assert old.apply_if_newer(new.complete_revision())
     assert old.text == _cell_text(2)
 
 
 def test_an_invalid_revision_in_the_log_is_rejected():
     config = Configuration()
-    config.apply(1, [config.successor(_cell_text(1), "k1")])
-    assert not config.apply(2, [config.successor("name = 3", "k2")])
+    config.apply(1, [config.make_revision(_cell_text(1), "k1")])
+    assert not config.apply(2, [config.make_revision("name = 3", "k2")])
     moved = small_cell().replace('data_centre = "west-1"', 'data_centre = "east-1"')
-    assert not config.apply(3, [config.successor(moved, "k3")])
+    assert not config.apply(3, [config.make_revision(moved, "k3")])
     with pytest.raises(ConfigError):
-        config.adopt(config.whole().__class__(9, "name = 3", "k", 9))
+        config.apply_if_newer(
+            config.complete_revision().__class__(9, "name = 3", "k", 9)
+        )
     assert config.revision == 1
 
 
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -69,7 +69,7 @@
 
 def test_checks_detect_a_host_over_capacity(monkeypatch):
     """Placement does not account for the tasks already on a host."""
-    monkeypatch.setattr(HostIndex, "_change", lambda self, host, need, sign: None)
+    monkeypatch.setattr(HostIndex, "_adjust", lambda self, host, need, sign: None)
     assert "overfilled" in _find_violations(["cancel_wave"])
 
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -65,11 +65,11 @@
     parts = list(split_snapshot("n", complete.next_offset, complete.encode()))
     recovered = Ledger()
     recovered.skip_to(4)
-    assert not recovered.whole
+    assert not recovered.is_complete
     tail = [[TasksEnded("d.1", [1], "done")], parts, [TasksEnded("d.1", [2], "done")]]
     _apply_batches(recovered, *tail)
     _apply_batches(complete, *tail)
-    assert recovered.whole
+    assert recovered.is_complete
     assert recovered.encode() == complete.encode()
 
 
@@ -80,7 +80,7 @@
     recovered.apply(
         9, list(split_snapshot("n", complete.next_offset, complete.encode()))
     )
-    assert not recovered.whole
+    assert not recovered.is_complete
 
 
 def test_a_corrupt_snapshot_raises():
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -5,14 +5,14 @@
 def test_simultaneous_failures_lower_a_limit_once():
     limit = ConcurrencyLimit(8)
     for _ in range(8):
-        limit.failure(10.0)
-    assert limit.whole == 5
+        limit.record_failure(10.0)
+    assert limit.whole_tasks == 5
     for second in range(11, 30):
-        limit.failure(float(second))
-    assert limit.whole == 1
+        limit.record_failure(float(second))
+    assert limit.whole_tasks == 1
     for _ in range(200):
-        limit.success()
-    assert limit.whole == 8
+        limit.record_success()
+    assert limit.whole_tasks == 8
 
 
 def test_the_least_urgent_is_shed_first():
@@ -20,11 +20,11 @@
     assert [limit.admits(80, urgency) for urgency in Urgency] == [True, True, False]
     assert [limit.admits(95, urgency) for urgency in Urgency] == [True, False, False]
     byte_limit = ByteLimit(1000)
-    assert byte_limit.take(650, Urgency.BACKGROUND)
-    assert not byte_limit.take(100, Urgency.BACKGROUND)
-    assert byte_limit.take(100, Urgency.URGENT)
-    byte_limit.give_back(650)
-    assert byte_limit.take(100, Urgency.BACKGROUND)
+    assert byte_limit.reserve(650, Urgency.BACKGROUND)
+    assert not byte_limit.reserve(100, Urgency.BACKGROUND)
+    assert byte_limit.reserve(100, Urgency.URGENT)
+    byte_limit.release(650)
+    assert byte_limit.reserve(100, Urgency.BACKGROUND)
 
 
 def test_headroom_grows_with_arrivals_and_shrinks_with_ends():
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -54,11 +54,13 @@
 def test_a_dead_owner_is_replaced_within_five_seconds():
     state = model.pickle.loads(model.steady())
     shard = model.SHARDS[0]
-    owner = next(n for n in state.nodes.values() if n.own.may_place(shard, state.now))
+    owner = next(
+        n for n in state.nodes.values() if n.ownership.may_place(shard, state.now)
+    )
     crashed_at = state.now
     state.crash(owner.name)
     while not any(
-        n.up and n.own.may_place(shard, state.now) for n in state.nodes.values()
+        n.up and n.ownership.may_place(shard, state.now) for n in state.nodes.values()
     ):
         state.step()
     assert state.now - crashed_at <= 5.0
@@ -70,7 +72,7 @@
     for _ in range(120):
         state.step()
         assert all(
-            any(n.own.may_place(shard, state.now) for n in state.nodes.values())
+            any(n.ownership.may_place(shard, state.now) for n in state.nodes.values())
             for shard in model.SHARDS
         )
 
@@ -78,13 +80,15 @@
 def test_an_isolated_owner_without_the_log_stops_placing_work():
     state = model.pickle.loads(model.steady())
     owner = next(
-        n for n in state.nodes.values() if n.own.may_place(model.SHARDS[0], state.now)
+        n
+        for n in state.nodes.values()
+        if n.ownership.may_place(model.SHARDS[0], state.now)
     )
     state.isolate(owner.name)
     state.lose_log(owner.name)
     for _ in range(6):
         state.step()
-    assert not owner.own.may_place(model.SHARDS[0], state.now)
+    assert not owner.ownership.may_place(model.SHARDS[0], state.now)
 
 
 def test_removing_a_name_moves_only_its_own_shards():
--- a/tests/test_routing.py
+++ b/tests/test_routing.py
@@ -4,7 +4,7 @@
 
 from bench.world import small_cell
 from siskinroad.cell import Locality, parse_cell
-from siskinroad.routing import Place, ShardLoad, choose
+from siskinroad.routing import Place, ShardLoad, choose_shard
 
 HERE = Place("east-1", "east")
 NEAR = Place("east-2", "east")
@@ -12,14 +12,14 @@
 QUOTE = parse_cell(small_cell()).workloads["quote"]
 
 
-def shard_load(place, free=5, wait=0.0, heard=100.0):
+def shard_load(place, free=5, wait=0.0, received_at=100.0):
     name = f"booking/{place.data_centre}/0"
-    return ShardLoad(name, "booking", "d", place, free, {"quote": wait}, heard)
+    return ShardLoad(name, "booking", "d", place, free, {"quote": wait}, received_at)
 
 
 def choose_place(*loads, tried=(), workload=QUOTE):
     rng = random.Random(1)
-    found = choose(workload, list(loads), HERE, set(tried), 100.0, rng)
+    found = choose_shard(workload, list(loads), HERE, set(tried), 100.0, rng)
     return found.place if found else None
 
 
@@ -38,8 +38,8 @@
 
 
 def test_stale_loads_and_other_pools_are_ignored():
-    assert choose_place(shard_load(HERE, heard=96.9), shard_load(FAR)) == FAR
-    assert choose_place(shard_load(FAR, heard=84.0)) is None
+    assert choose_place(shard_load(HERE, received_at=96.9), shard_load(FAR)) == FAR
+    assert choose_place(shard_load(FAR, received_at=84.0)) is None
     other = shard_load(HERE)
     other.pool = "render"
     assert choose_place(other) is None
@@ -66,8 +66,9 @@
     second.shard = "booking/east-1/1"
     rng = random.Random(1)
     found = [
-        choose(QUOTE, [first, second], HERE, set(), 100.0, rng).shard for _ in range(99)
+        choose_shard(QUOTE, [first, second], HERE, set(), 100.0, rng).shard
+        for _ in range(99)
     ]
     assert set(found) <= {first.shard, second.shard}
     second.free = 1
-    assert choose(QUOTE, [first, second], HERE, set(), 100.0, rng) is first
+    assert choose_shard(QUOTE, [first, second], HERE, set(), 100.0, rng) is first
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -178,7 +178,7 @@
     scheduler = make_scheduler()
     scheduler.submit(item(scheduler, "quote", "q/0"), 0.0)
     assert scheduler.ended("q/0", 0, End.UNKNOWN, 0.1) == []
-    assert scheduler.shard.items["q/0"].hold_until > 0.1
+    assert scheduler.shard.items["q/0"].backoff_until > 0.1
     scheduler.submit(item(scheduler, "charge", "c/0"), 0.0)
     [effect] = scheduler.ended("c/0", 0, End.UNKNOWN, 0.1)
     assert effect.refusal.outcome == "outcome unknown"
