--- a/bench/driver.py
+++ b/bench/driver.py
@@ -250,7 +250,7 @@
         task = self.tasks.get((effect.key, effect.member))
         if task is None:
             return
-        match effect.do:
+        match effect.action:
             case Control.CHECKPOINT:
                 self._push_event(self.now + 0.2, "checkpoint", task)
             case Control.STOP:
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -12,7 +12,7 @@
 from bench.world import World, small_cell
 from siskinroad.entry import Daemon
 from siskinroad.errors import ConflictError, PlatformError, Refusal, SiskinroadError
-from siskinroad.platform import CELL_STREAM, HostState, dc_stream
+from siskinroad.platform import CELL_STREAM, HostState, data_centre_stream
 
 T = TypeVar("T")
 
@@ -168,14 +168,16 @@
         world.log.faults.down = False
         world.log.faults.cut.clear()
         world.log.faults.delay = 0.0
-        world.log.faults.lose_answers = 0
+        world.log.faults.lost_replies = 0
         world.network.faults.cut.clear()
         world.network.faults.loss = 0.0
         world.network.faults.duplicate = 0.0
         world.network.faults.jitter = 0.0
         world.cut.clear()
         for worker in world.workers.values():
-            worker.faults.down = worker.faults.silent = worker.faults.mute = False
+            worker.faults.down = worker.faults.silent = worker.faults.loses_replies = (
+                False
+            )
             worker.faults.failing = False
         for name in NAMES:
             if name not in world.daemons:
@@ -268,15 +270,15 @@
     if not name or not session.world.cell.pools["booking"].fencing:
         return
     upstreams = session.world.daemons[name].upstreams
-    held = upstreams.held = asyncio.Event()
+    delivery_gate = upstreams.delivery_gate = asyncio.Event()
     session.world.network.pause(name)
     session.world.log.faults.cut.add(name)
     await session.pause()
     session.world.network.resume(name)
     session.world.log.faults.cut.discard(name)
-    held.set()
-    if upstreams.held is held:
-        upstreams.held = None
+    delivery_gate.set()
+    if upstreams.delivery_gate is delivery_gate:
+        upstreams.delivery_gate = None
 
 
 async def host_fails(session: Session) -> None:
@@ -299,9 +301,9 @@
 async def host_mute(session: Session) -> None:
     """Let calls to a host take effect, but drop its answers."""
     worker = session.worker()
-    worker.faults.mute = True
+    worker.faults.loses_replies = True
     await session.pause()
-    worker.faults.mute = False
+    worker.faults.loses_replies = False
 
 
 async def host_fails_everything(session: Session) -> None:
@@ -325,7 +327,7 @@
 
 
 async def log_answers_lost(session: Session) -> None:
-    session.world.log.faults.lose_answers = session.rng.randrange(1, 8)
+    session.world.log.faults.lost_replies = session.rng.randrange(1, 8)
     await session.pause()
 
 
@@ -333,7 +335,7 @@
     """Write snapshots and trim the streams of the log up to them."""
     trims: dict[str, int] = {}
     for daemon in list(session.world.daemons.values()):
-        stream = dc_stream(daemon.cfg.data_centre)
+        stream = data_centre_stream(daemon.cfg.data_centre)
         as_of = daemon.ledger.next_offset
         if session.world.daemons.get(daemon.cfg.name) is not daemon:
             continue
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -121,7 +121,7 @@
         self, name: str, method: str, target: str, body: bytes = b""
     ) -> Any:
         return await self.pool.request(
-            self.ports[name][1], method, target, body=body, limit=30.0
+            self.ports[name][1], method, target, body=body, timeout=30.0
         )
 
     async def _are_all_healthy(self) -> bool:
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -219,15 +219,17 @@
     names = [f"east-1{chr(97 + i)}" for i in range(peers + 1)]
     world = World(_make_cell_text(4), names, SEED)
     await world.ready()
-    sent = [sum(d.peers.traffic.sent.values()) for d in world.daemons.values()]
+    sent = [sum(d.peers.traffic.bytes_sent.values()) for d in world.daemons.values()]
     messages_before = [
-        sum(d.peers.traffic.messages.values()) for d in world.daemons.values()
+        sum(d.peers.traffic.messages_sent.values()) for d in world.daemons.values()
     ]
     reads, appends = world.log.reads, world.log.appends
     await asyncio.sleep(seconds)
-    sent_after = [sum(d.peers.traffic.sent.values()) for d in world.daemons.values()]
+    sent_after = [
+        sum(d.peers.traffic.bytes_sent.values()) for d in world.daemons.values()
+    ]
     messages_after = [
-        sum(d.peers.traffic.messages.values()) for d in world.daemons.values()
+        sum(d.peers.traffic.messages_sent.values()) for d in world.daemons.values()
     ]
     return {
         "reader": (sent_after[0] - sent[0]) / seconds,
--- a/siskinroad/appender.py
+++ b/siskinroad/appender.py
@@ -70,7 +70,7 @@
         self._pending: list[_PendingRecord] = []
         self._wake = asyncio.Event()
 
-    def put(self, record: Record, timeout: float) -> asyncio.Future[int]:
+    def append(self, record: Record, timeout: float) -> asyncio.Future[int]:
         """Queue a record for the next append.
 
         Parameters
--- a/siskinroad/attempts.py
+++ b/siskinroad/attempts.py
@@ -162,10 +162,10 @@
         run.stopping = True
         return self.control(run, Control.STOP)
 
-    def control(self, run: Running, do: Control) -> list[Effect]:
+    def control(self, run: Running, action: Control) -> list[Effect]:
         """Return the effects that apply a control to each member."""
         return [
-            ControlTask(run.item.key, run.attempt, host, member, do)
+            ControlTask(run.item.key, run.attempt, host, member, action)
             for member, host in run.hosts.items()
         ]
 
--- a/siskinroad/cli.py
+++ b/siskinroad/cli.py
@@ -270,9 +270,9 @@
 
     def run(self, args: Args) -> int:
         """Print the keys as lines for a settings file."""
-        from siskinroad.peers_zmq import new_keys
+        from siskinroad.peers_zmq import generate_keys
 
-        public, secret = new_keys()
+        public, secret = generate_keys()
         print(f'public_key = "{public}"\nsecret_key = "{secret}"')
         return EXIT_OK
 
--- a/siskinroad/cluster.py
+++ b/siskinroad/cluster.py
@@ -132,7 +132,9 @@
         while loop.time() < deadline:
             owned_shards: set[str] = set()
             for node in self.nodes:
-                owned_shards |= {news.shard for news in node.daemon.shards.news()}
+                owned_shards |= {
+                    update.shard for update in node.daemon.shards.shard_updates()
+                }
             if owned_shards == all_shards:
                 return True
             await asyncio.sleep(0.1)
--- a/siskinroad/daemon_context.py
+++ b/siskinroad/daemon_context.py
@@ -22,7 +22,7 @@
 class SnapshotRequester(Protocol):
     """Sender of snapshot requests to peers."""
 
-    def want_snapshot(self) -> None:
+    def request_snapshot(self) -> None:
         """Ask a peer to write a snapshot of the ledger."""
 
 
--- a/siskinroad/demo.py
+++ b/siskinroad/demo.py
@@ -155,7 +155,7 @@
 def _sum_sent_bytes(cluster: Cluster) -> dict[str, int]:
     sent: dict[str, int] = {}
     for node in cluster.nodes:
-        for kind, size in node.daemon.peers.traffic.sent.items():
+        for kind, size in node.daemon.peers.traffic.bytes_sent.items():
             sent[kind] = sent.get(kind, 0) + size
     return sent
 
@@ -184,7 +184,7 @@
         used = total = 0
         for node in cluster.nodes:
             for owner in node.daemon.shards.owners.values():
-                allocated, capacity = owner.used()
+                allocated, capacity = owner.usage_and_capacity()
                 used += allocated.accelerators
                 total += capacity.accelerators
         peak = max(peak, used / total if total else 0.0)
--- a/siskinroad/effects.py
+++ b/siskinroad/effects.py
@@ -47,7 +47,7 @@
     attempt: str
     host: str
     member: int
-    do: Control
+    action: Control
 
 
 @dataclass(slots=True)
--- a/siskinroad/entry.py
+++ b/siskinroad/entry.py
@@ -43,7 +43,7 @@
 from siskinroad.metrics import Metrics
 from siskinroad.ownership import Ownership
 from siskinroad.peers import PeerTransport
-from siskinroad.platform import CELL_STREAM, Platform, dc_stream
+from siskinroad.platform import CELL_STREAM, Platform, data_centre_stream
 from siskinroad.publisher import Publisher
 from siskinroad.records import Record
 from siskinroad.request_handler import Request, RequestHandler
@@ -114,7 +114,7 @@
     def _build_coordination(self) -> None:
         cfg, rng = self.cfg, self.rng
         send = self.peers.send
-        stream = dc_stream(cfg.data_centre)
+        stream = data_centre_stream(cfg.data_centre)
         self.members = Membership(cfg.name)
         self.ledger = Ledger()
         self.configuration = Configuration()
@@ -151,8 +151,10 @@
     def _build_request_path(self) -> None:
         cfg, rng = self.cfg, self.rng
         send = self.peers.send
-        put = self.appender.put
-        self.guard = IdempotencyGuard(cfg.name, self.ledger, put, self._ledger_applied)
+        append = self.appender.append
+        self.guard = IdempotencyGuard(
+            cfg.name, self.ledger, append, self._ledger_applied
+        )
         self.shards = OwnedShards(
             self.place,
             self.ownership,
@@ -181,7 +183,7 @@
             self.place,
             self.shards,
             self.ledger,
-            put,
+            append,
             self._ledger_applied,
             self.loads,
             send,
@@ -193,7 +195,7 @@
             self.configuration,
             self.members,
             self.load_table,
-            self.cell_appender.put,
+            self.cell_appender.append,
             self._cell_applied,
         )
         self.periodic = PeriodicMessages(self)
@@ -247,8 +249,8 @@
             )
             has_work = (
                 self.request_handler.in_progress
-                or self.shards.busy
-                or self.receiver.active
+                or self.shards.request_count
+                or self.receiver.running
             )
             if not holds_shards and not has_work and not self.shards.owners:
                 break
@@ -296,8 +298,8 @@
         was_complete = self.ledger.is_complete
         self.ledger.apply(offset, records)
         if self.ledger.is_complete and not was_complete:
-            self.shards.hear_snapshot()
-        self.shards.hear_records(records)
+            self.shards.apply_snapshot()
+        self.shards.apply_records(records)
         self._schedule_notify()
 
     def put_in_force(self) -> None:
@@ -328,7 +330,7 @@
             await self._applied.wait_for(predicate)
 
     def _log_confirmed(self, stream: str, stamp: float) -> None:
-        if stream == dc_stream(self.cfg.data_centre):
+        if stream == data_centre_stream(self.cfg.data_centre):
             self.ownership.log_confirmed(stamp)
 
     # Requests
@@ -379,17 +381,17 @@
             case LogFetch():
                 self.log_reader.handle_fetch(msg)
             case Forward():
-                self.receiver.hear(msg)
+                self.receiver.receive(msg)
             case ForwardQuery():
-                self.receiver.hear_ask(msg)
+                self.receiver.receive_query(msg)
             case ForwardAck():
-                self.forwarder.hear_ack(msg)
+                self.forwarder.receive_ack(msg)
             case Reply():
-                self.forwarder.hear_reply(msg)
+                self.forwarder.receive_reply(msg)
             case JobRequest():
-                self.jobs.hear(msg)
+                self.jobs.receive(msg)
             case JobReply():
-                self.jobs.hear_reply(msg)
+                self.jobs.receive_reply(msg)
             case Digest():
                 self.periodic.handle_digest(msg, now)
             case HostListUpdate():
--- a/siskinroad/errors.py
+++ b/siskinroad/errors.py
@@ -44,12 +44,12 @@
     DEADLINE = "deadline"
     CANCELLED = "cancelled"
     NO_OWNER = "no_owner"
-    OWNERSHIP_IN_DOUBT = "ownership_in_doubt"
+    OWNERSHIP_UNCERTAIN = "ownership_in_doubt"
     LOG_UNAVAILABLE = "log_unavailable"
     KEY_REQUIRED = "key_required"
     KEY_IN_PROGRESS = "key_in_progress"
     KEY_REUSED = "key_reused"
-    HOME_UNREACHABLE = "home_unreachable"
+    HOME_DATA_CENTRE_UNREACHABLE = "home_unreachable"
     DRAINING = "draining"
     UPSTREAM_FAILED = "upstream_failed"
     UPSTREAM_TIMEOUT = "upstream_timeout"
@@ -113,15 +113,15 @@
 
 
 class LogTrimmedError(PlatformError):
-    """Log records before offset ``first`` are no longer retained."""
+    """Log records before offset ``first_offset`` are no longer retained."""
 
-    def __init__(self, first: int, *, peer: str = "") -> None:
+    def __init__(self, first_offset: int, *, peer: str = "") -> None:
         super().__init__(
-            f"log records before offset {first} are no longer retained",
+            f"log records before offset {first_offset} are no longer retained",
             step="platform.read",
             peer=peer,
         )
-        self.first = first
+        self.first_offset = first_offset
 
 
 class ProtocolError(SiskinroadError):
--- a/siskinroad/forwarding.py
+++ b/siskinroad/forwarding.py
@@ -94,14 +94,14 @@
             await asyncio.wait({pending.fut}, timeout=RESEND_INTERVAL)
         return pending.fut.result()
 
-    def hear_ack(self, msg: ForwardAck) -> None:
+    def receive_ack(self, msg: ForwardAck) -> None:
         """Record that the peer has received a request."""
         pending = self._pending.get(msg.id)
         if pending is not None:
             pending.acked = True
             pending.last_ack_at = asyncio.get_running_loop().time()
 
-    def hear_reply(self, msg: Reply) -> bool:
+    def receive_reply(self, msg: Reply) -> bool:
         """Complete a pending request; return False if it is no longer pending."""
         pending = self._pending.get(msg.id)
         if pending is None or pending.fut.done():
@@ -151,29 +151,29 @@
         self.incarnation = incarnation
         self.send = send
         self.run = run
-        self.active: dict[str, asyncio.Task[None]] = {}
+        self.running: dict[str, asyncio.Task[None]] = {}
         self._replies: OrderedDict[str, Reply] = OrderedDict()
         self._kept_bytes = 0
         self._seen_ids: OrderedDict[str, None] = OrderedDict()
 
-    def hear(self, msg: Forward) -> None:
+    def receive(self, msg: Forward) -> None:
         """Handle a forwarded request, which may be a repetition."""
         reply = self._replies.get(msg.id)
         if reply is not None:
             self.send(msg.name, reply)
-        elif msg.id in self.active:
+        elif msg.id in self.running:
             self.send(msg.name, ForwardAck(msg.id))
         elif msg.id in self._seen_ids or msg.incarnation != self.incarnation:
             self.send(msg.name, _refusal_reply(msg.id, _peer_lost_refusal("")))
         else:
             self._start(msg)
 
-    def hear_ask(self, msg: ForwardQuery) -> None:
+    def receive_query(self, msg: ForwardQuery) -> None:
         """Reply to a peer that polls for the reply to its request."""
         reply = self._replies.get(msg.id)
         if reply is not None:
             self.send(msg.name, reply)
-        elif msg.id in self.active:
+        elif msg.id in self.running:
             self.send(msg.name, ForwardAck(msg.id))
         else:
             self.send(msg.name, _refusal_reply(msg.id, _peer_lost_refusal("")))
@@ -184,7 +184,7 @@
             self._seen_ids.popitem(last=False)
         self.send(msg.name, ForwardAck(msg.id))
         task = asyncio.get_running_loop().create_task(self._serve(msg))
-        self.active[msg.id] = task
+        self.running[msg.id] = task
 
     async def _serve(self, msg: Forward) -> None:
         try:
@@ -202,7 +202,7 @@
             )
             reply = _refusal_reply(msg.id, refusal)
         finally:
-            del self.active[msg.id]
+            del self.running[msg.id]
         self._keep_reply(reply)
         self.send(msg.name, reply)
 
--- a/siskinroad/heartbeats.py
+++ b/siskinroad/heartbeats.py
@@ -121,7 +121,7 @@
             daemon.ownership.draining,
             daemon.ownership.is_admitted(),
             required_peers,
-            daemon.shards.news(),
+            daemon.shards.shard_updates(),
         )
 
     def handle_heartbeat(self, msg: Heartbeat, now: float) -> None:
@@ -172,7 +172,7 @@
         known = daemon.configuration.revision
         daemon.peers.send(peer, RevisionWanted(daemon.cfg.name, known))
 
-    def want_snapshot(self) -> None:
+    def request_snapshot(self) -> None:
         """Request a snapshot of the data centre's stream from its other daemons."""
         for name in self._local_peers:
             self.daemon.peers.send(name, SnapshotWanted(self.daemon.cfg.name))
@@ -229,7 +229,7 @@
     def _apply_host_list(self, msg: HostListUpdate) -> None:
         self._host_list = msg
         hosts: list[ListedHost] = msg.hosts
-        self.daemon.shards.set_listed({host.name: host.state for host in hosts})
+        self.daemon.shards.set_host_list({host.name: host.state for host in hosts})
 
     # Digests
 
@@ -264,14 +264,14 @@
         self._sequence += 1
         members = daemon.members.alive_members(now)
         owners = {
-            news.shard: (member.name, member.incarnation)
+            update.shard: (member.name, member.incarnation)
             for member in members
-            for news in member.shards
+            for update in member.shards
         }
-        shards = {news.shard: news for m in members for news in m.shards}
-        for news in daemon.shards.news():
-            owners[news.shard] = (daemon.cfg.name, daemon.incarnation)
-            shards[news.shard] = news
+        shards = {update.shard: update for m in members for update in m.shards}
+        for update in daemon.shards.shard_updates():
+            owners[update.shard] = (daemon.cfg.name, daemon.incarnation)
+            shards[update.shard] = update
         revisions = [m.revision for m in members]
         return Digest(
             daemon.cfg.name,
--- a/siskinroad/http_client.py
+++ b/siskinroad/http_client.py
@@ -93,8 +93,8 @@
         *,
         body: bytes = b"",
         headers: tuple[tuple[str, str], ...] = (),
-        limit: float = 10.0,
-        fresh: bool = False,
+        timeout: float = 10.0,
+        new_connection: bool = False,
         host: str = "",
     ) -> ClientResponse:
         """Send one request and return its whole response.
@@ -103,9 +103,9 @@
         ----------
         address : str
             IPv4 address and port of the peer.
-        limit : float
+        timeout : float
             Seconds for the whole exchange.
-        fresh : bool
+        new_connection : bool
             Whether to open a new connection instead of reusing one.
         host : str
             Value of the ``Host`` header; empty for the address.
@@ -124,8 +124,8 @@
             raise NotSentError("too many connections in use", step="http", peer=address)
         peer.in_use += 1
         try:
-            async with asyncio.timeout(limit):
-                conn = await self._connect(address, fresh)
+            async with asyncio.timeout(timeout):
+                conn = await self._connect(address, new_connection)
                 is_sent = True
                 response = await self._exchange(
                     conn, host or address, method, target, body, headers
@@ -156,10 +156,10 @@
             while peer.idle:
                 peer.idle.pop().abort()
 
-    async def _connect(self, address: str, fresh: bool) -> _Connection:
+    async def _connect(self, address: str, new_connection: bool) -> _Connection:
         peer = self._peers[address]
         now = asyncio.get_running_loop().time()
-        while peer.idle and not fresh:
+        while peer.idle and not new_connection:
             conn = peer.idle.pop()
             is_recent = now - conn.idle_since < MAX_IDLE_TIME
             if (
--- a/siskinroad/jobs.py
+++ b/siskinroad/jobs.py
@@ -48,7 +48,7 @@
 # Seconds between two attempts within that time.
 NO_OWNER_RETRY_INTERVAL = 0.1
 # Refusals after which a submission is tried again within that time.
-RETRIED_REASONS = (Reason.NO_OWNER, Reason.HOME_UNREACHABLE)
+RETRIED_REASONS = (Reason.NO_OWNER, Reason.HOME_DATA_CENTRE_UNREACHABLE)
 
 
 class JobView(msgspec.Struct, frozen=True):
@@ -87,7 +87,7 @@
         place: Place,
         shards: OwnedShards,
         ledger: Ledger,
-        put: Callable[[Record, float], asyncio.Future[int]],
+        append: Callable[[Record, float], asyncio.Future[int]],
         wait_applied: Callable[[int], Awaitable[None]],
         loads: Callable[[], list[ShardLoad]],
         send: Callable[[str, Message], None],
@@ -99,7 +99,7 @@
         self.place = place
         self.shards = shards
         self.ledger = ledger
-        self.put = put
+        self.append = append
         self.wait_applied = wait_applied
         self.loads = loads
         self.send = send
@@ -162,7 +162,7 @@
         if load is None:
             load = choose_shard(workload, loads, self.place, set(), now, self.rng)
         if load is None:
-            reason = Reason.HOME_UNREACHABLE if key else Reason.NO_OWNER
+            reason = Reason.HOME_DATA_CENTRE_UNREACHABLE if key else Reason.NO_OWNER
             raise Refusal(reason, step="submit", retry_after=1.0)
         return load
 
@@ -209,7 +209,7 @@
         for load in self.loads():
             if load.place.data_centre == centre and load.owner:
                 return load.owner
-        raise Refusal(Reason.HOME_UNREACHABLE, step="job", retry_after=2.0)
+        raise Refusal(Reason.HOME_DATA_CENTRE_UNREACHABLE, step="job", retry_after=2.0)
 
     async def _call_owner(
         self,
@@ -263,7 +263,7 @@
             peer=owner,
         )
 
-    def hear_reply(self, msg: JobReply) -> None:
+    def receive_reply(self, msg: JobReply) -> None:
         """Complete a pending request with the owner's reply."""
         pending = self._pending.get(msg.id)
         if pending is not None and not pending.fut.done():
@@ -271,7 +271,7 @@
 
     # At the daemon that owns the job's shard
 
-    def hear(self, msg: JobRequest) -> None:
+    def receive(self, msg: JobRequest) -> None:
         """Serve a peer's request; ignore a repetition while it is being served."""
         if msg.id in self._serving:
             return
@@ -348,7 +348,7 @@
 
     async def _record(self, record: Record) -> None:
         try:
-            offset = await self.put(record, RECORD_TIMEOUT)
+            offset = await self.append(record, RECORD_TIMEOUT)
             await self.wait_applied(offset)
         except (PlatformError, TimeoutError):
             raise Refusal(
--- a/siskinroad/listeners.py
+++ b/siskinroad/listeners.py
@@ -53,7 +53,7 @@
             self.transport,
             rng,
         )
-        refusals = self.daemon.metrics.http.labels
+        refusals = self.daemon.metrics.http_refusals.labels
         limits = HttpLimits(connections=cfg.max_connections, body_bytes=MAX_CALLER_BODY)
         self.caller_http = HttpServer(
             CallerApi(self.daemon).handle, limits, lambda reason: refusals(reason).inc()
--- a/siskinroad/load.py
+++ b/siskinroad/load.py
@@ -117,7 +117,7 @@
             f"/v1/services/{service}",
             body=b"x" * body_bytes,
             headers=headers,
-            limit=REQUEST_TIMEOUT_S,
+            timeout=REQUEST_TIMEOUT_S,
         )
     except SiskinroadError:
         result.errors += 1
--- a/siskinroad/log_reader.py
+++ b/siskinroad/log_reader.py
@@ -188,9 +188,9 @@
                 page = await self.platform.read(stream.name, start, PAGE_APPENDS)
             except LogTrimmedError as exc:
                 log.warning(
-                    "log: %s was trimmed, skipping to %d", stream.name, exc.first
+                    "log: %s was trimmed, skipping to %d", stream.name, exc.first_offset
                 )
-                stream.skip(exc.first)
+                stream.skip(exc.first_offset)
                 continue
             except PlatformError:
                 return False
--- a/siskinroad/metrics.py
+++ b/siskinroad/metrics.py
@@ -22,13 +22,13 @@
         self.retries = self._add_counter(
             "siskinroad_retries", "Tries repeated or given up.", "reason"
         )
-        self.controls = self._add_counter(
+        self.task_controls = self._add_counter(
             "siskinroad_controls", "Tasks stopped, checkpointed, throttled.", "action"
         )
-        self.hosts = self._add_counter(
+        self.host_events = self._add_counter(
             "siskinroad_host_events", "Changes in a host's standing.", "event"
         )
-        self.http = self._add_counter(
+        self.http_refusals = self._add_counter(
             "siskinroad_http_refusals", "Requests refused below HTTP.", "reason"
         )
         self.answers = self._add_counter(
@@ -37,20 +37,20 @@
         self.claims = self._add_counter(
             "siskinroad_claims", "Changes of ownership.", "event"
         )
-        self.waited = Histogram(
+        self.wait_seconds = Histogram(
             "siskinroad_wait_seconds",
             "Waiting time before work starts.",
             ("urgency", "owner"),
             buckets=WAIT_BUCKETS_S,
             registry=self.registry,
         )
-        self.packing = Gauge(
+        self.packing_ratio = Gauge(
             "siskinroad_packing_ratio",
             "Part of the open hosts' capacity that is given away.",
             ("dimension",),
             registry=self.registry,
         )
-        self.peer_bytes = Gauge(
+        self.peer_sent_bytes = Gauge(
             "siskinroad_peer_sent_bytes",
             "Bytes sent to other daemons.",
             ("kind", "distance"),
--- a/siskinroad/operators.py
+++ b/siskinroad/operators.py
@@ -122,13 +122,13 @@
         used = [0, 0, 0]
         total = [0, 0, 0]
         for owner in daemon.shards.owners.values():
-            part, whole = owner.used()
+            part, whole = owner.usage_and_capacity()
             for i, name in enumerate(("cpu_milli", "memory_mib", "accelerators")):
                 used[i] += getattr(part, name)
                 total[i] += getattr(whole, name)
         for i, name in enumerate(("processors", "memory", "accelerators")):
             ratio = used[i] / total[i] if total[i] else 0.0
-            metrics.packing.labels(name).set(ratio)
-        for kind, size in daemon.peers.traffic.sent.items():
+            metrics.packing_ratio.labels(name).set(ratio)
+        for kind, size in daemon.peers.traffic.bytes_sent.items():
             distance = "far" if kind == "Digest" else "near"
-            metrics.peer_bytes.labels(kind, distance).set(size)
+            metrics.peer_sent_bytes.labels(kind, distance).set(size)
--- a/siskinroad/owner.py
+++ b/siskinroad/owner.py
@@ -51,7 +51,7 @@
         self.ports = ports
         self.scheduler = Scheduler(cell, ports.rng, now)
         self.scheduler.is_paused = True
-        self.stale = False
+        self.is_stale = False
         self.monitors: dict[str, HostMonitor] = {}
         self.requests = RequestTable(self)
         self.tasks = TaskTable(self)
@@ -171,8 +171,8 @@
 
     def mark_stale(self) -> None:
         """Stop placing work after a host has rejected this owner's epoch as stale."""
-        if not self.stale:
-            self.stale = True
+        if not self.is_stale:
+            self.is_stale = True
             self.suspend()
             log.warning(
                 "owner: a host rejected epoch %d of shard %s as stale; placing no more",
@@ -220,10 +220,10 @@
         if monitor is None or effect.key in self.requests:
             return
         attempt = attempt_name(effect.attempt, effect.member)
-        self.ports.count_event("control", effect.do.value)
+        self.ports.count_event("control", effect.action.value)
         try:
             await self.ports.upstreams.control(
-                monitor.host, self.epoch, attempt, effect.do
+                monitor.host, self.epoch, attempt, effect.action
             )
         except StaleEpochError:
             self.mark_stale()
@@ -239,14 +239,16 @@
         pools = self.scheduler.shard.pools.values()
         return sum(state.index.free_slots for state in pools)
 
-    def waits(self) -> dict[str, float]:
+    def expected_waits(self) -> dict[str, float]:
         """Return the expected wait in seconds by workload, where above 0.01 s."""
         now = self.now()
         lanes = self.scheduler.shard.waiting.lanes
-        waits = {name: lane.expected_wait(now) for name, lane in lanes.items()}
-        return {name: round(wait, 2) for name, wait in waits.items() if wait > 0.01}
+        expected_waits = {name: lane.expected_wait(now) for name, lane in lanes.items()}
+        return {
+            name: round(wait, 2) for name, wait in expected_waits.items() if wait > 0.01
+        }
 
-    def used(self) -> tuple[Resources, Resources]:
+    def usage_and_capacity(self) -> tuple[Resources, Resources]:
         """Return the allocated resources and the capacity of all open hosts."""
         used = Resources()
         total = Resources()
--- a/siskinroad/peers.py
+++ b/siskinroad/peers.py
@@ -49,23 +49,23 @@
 
     Attributes
     ----------
-    messages : dict
+    messages_sent : dict
         Messages sent, by message type.
-    sent : dict
+    bytes_sent : dict
         Bytes sent, by message type.
-    received : int
+    bytes_received : int
         Bytes received.
     """
 
-    messages: dict[str, int] = field(default_factory=dict)
-    sent: dict[str, int] = field(default_factory=dict)
-    received: int = 0
+    messages_sent: dict[str, int] = field(default_factory=dict)
+    bytes_sent: dict[str, int] = field(default_factory=dict)
+    bytes_received: int = 0
 
     def count(self, msg: object, size: int) -> None:
         """Count one sent message of ``size`` bytes."""
         kind = type(msg).__name__
-        self.messages[kind] = self.messages.get(kind, 0) + 1
-        self.sent[kind] = self.sent.get(kind, 0) + size
+        self.messages_sent[kind] = self.messages_sent.get(kind, 0) + 1
+        self.bytes_sent[kind] = self.bytes_sent.get(kind, 0) + size
 
 
 class PeerTransport(ABC):
@@ -139,7 +139,7 @@
         self.nodes: dict[str, MemoryTransport] = {}
         self.paused: dict[str, list[tuple[str, bytes]]] = {}
         # Daemons on hosts without power: their peers get no notice of disconnection.
-        self.dark: set[str] = set()
+        self.powered_off: set[str] = set()
 
     def join(self, name: str, codec: Codec = CELL_CODEC) -> MemoryTransport:
         """Add a daemon, notify the others and return its transport."""
@@ -173,13 +173,16 @@
             return
         node = self.nodes.get(name)
         if node is not None and not node.closed:
-            node.traffic.received += len(data)
+            node.traffic.bytes_received += len(data)
             node.receiver(sender, node.codec.decode(data, sender))
 
     def notify_disconnected(self, name: str) -> None:
         """Notify the other daemons that they lost the connection to this one."""
         for node in self.nodes.values():
-            is_cut_off = (name, node.name) in self.faults.cut or name in self.dark
+            is_cut_off = (
+                name,
+                node.name,
+            ) in self.faults.cut or name in self.powered_off
             if node.disconnected is not None and not is_cut_off:
                 self._schedule_callback(node, node.disconnected, name)
 
@@ -218,7 +221,7 @@
         cut = self.network.faults.cut
         node = self.network.nodes.get(name)
         is_cut_off = (self.name, name) in cut or (name, self.name) in cut
-        if node is None or is_cut_off or name in self.network.dark:
+        if node is None or is_cut_off or name in self.network.powered_off:
             return Reachability.SILENT
         return Reachability.REFUSES if node.closed else Reachability.LISTENS
 
--- a/siskinroad/peers_zmq.py
+++ b/siskinroad/peers_zmq.py
@@ -17,7 +17,7 @@
 from siskinroad.peers import CELL_CODEC, PeerTransport, Reachability
 from siskinroad.settings import Peer
 
-__all__ = ["TransportSettings", "ZmqTransport", "new_keys"]
+__all__ = ["TransportSettings", "ZmqTransport", "generate_keys"]
 
 ZAP_ENDPOINT = "inproc://zeromq.zap.01"
 ZAP_VERSION = b"1.0"
@@ -66,7 +66,7 @@
         """Secret key of this daemon, or an empty string."""
 
 
-def new_keys() -> tuple[str, str]:
+def generate_keys() -> tuple[str, str]:
     """Generate a public and a secret CURVE key, in Z85 encoding."""
     public, secret = zmq.curve_keypair()
     return public.decode(), secret.decode()
@@ -165,7 +165,7 @@
         if callback is not None:
             callback(name)
 
-    def learn(self, peer: Peer) -> None:
+    def update_peer(self, peer: Peer) -> None:
         """Add a peer, or update it after a change of address or incarnation.
 
         A lost connection is replaced by a new one at the next message: ZeroMQ's pause
@@ -241,7 +241,7 @@
             frames = await self._router.recv_multipart()
             peer = frames[0].decode("latin-1")
             data = frames[-1]
-            self.traffic.received += len(data)
+            self.traffic.bytes_received += len(data)
             try:
                 msg = self.codec.decode(data, peer)
             except ProtocolError as exc:
--- a/siskinroad/platform.py
+++ b/siskinroad/platform.py
@@ -14,7 +14,7 @@
     "ListedHost",
     "LogPage",
     "Platform",
-    "dc_stream",
+    "data_centre_stream",
 ]
 
 CELL_STREAM = "cell"
@@ -68,7 +68,7 @@
         return self.start + len(self.records)
 
 
-def dc_stream(data_centre: str) -> str:
+def data_centre_stream(data_centre: str) -> str:
     """Return the name of a data centre's own stream."""
     return f"dc.{data_centre}"
 
--- a/siskinroad/platform_http.py
+++ b/siskinroad/platform_http.py
@@ -43,23 +43,23 @@
 
     async def append(self, stream: str, data: bytes) -> int:
         """Append one record; see the base class."""
-        answer = await self._request("POST", f"/log/{stream}", data, "append")
-        return _decode_body(answer, _AppendReply, "append").offset
+        response = await self._request("POST", f"/log/{stream}", data, "append")
+        return _decode_body(response, _AppendReply, "append").offset
 
     async def read(self, stream: str, start: int, limit: int) -> LogPage:
         """Read records; see the base class."""
         target = f"/log/{stream}?from={start}&limit={limit}"
-        answer = await self._request("GET", target, b"", "read")
-        if answer.status == STATUS_TRIMMED:
-            first = _decode_body(answer, _TrimmedReply, "read").first
+        response = await self._request("GET", target, b"", "read")
+        if response.status == STATUS_TRIMMED:
+            first = _decode_body(response, _TrimmedReply, "read").first
             raise LogTrimmedError(first, peer=self.address)
-        return _decode_body(answer, LogPage, "read")
+        return _decode_body(response, LogPage, "read")
 
     async def hosts(self, data_centre: str, known: str) -> HostList:
         """Return the host list; see the base class."""
         target = f"/hosts/{data_centre}?known={known}"
-        answer = await self._request("GET", target, b"", "hosts")
-        return _decode_body(answer, HostList, "hosts")
+        response = await self._request("GET", target, b"", "hosts")
+        return _decode_body(response, HostList, "hosts")
 
     async def close(self) -> None:
         """Close all connections."""
@@ -69,25 +69,25 @@
         self, method: str, target: str, body: bytes, step: str
     ) -> ClientResponse:
         try:
-            answer = await self.pool.request(
-                self.address, method, target, body=body, limit=REQUEST_TIMEOUT
+            response = await self.pool.request(
+                self.address, method, target, body=body, timeout=REQUEST_TIMEOUT
             )
         except (NotSentError, OutcomeUnknownError) as exc:
             raise PlatformError(
                 exc.message, step=f"platform.{step}", peer=self.address
             ) from exc
-        if answer.status not in (STATUS_OK, STATUS_TRIMMED):
+        if response.status not in (STATUS_OK, STATUS_TRIMMED):
             raise PlatformError(
-                f"expected status 200 or 410, got {answer.status}",
+                f"expected status 200 or 410, got {response.status}",
                 step=f"platform.{step}",
                 peer=self.address,
             )
-        return answer
+        return response
 
 
-def _decode_body(answer: ClientResponse, kind: type[_T], step: str) -> _T:
+def _decode_body(response: ClientResponse, kind: type[_T], step: str) -> _T:
     try:
-        return msgspec.json.decode(answer.body, type=kind)
+        return msgspec.json.decode(response.body, type=kind)
     except msgspec.MsgspecError as exc:
         raise PlatformError(
             f"reply cannot be decoded: {exc}", step=f"platform.{step}"
--- a/siskinroad/platform_memory.py
+++ b/siskinroad/platform_memory.py
@@ -23,7 +23,7 @@
     ----------
     down : bool
         All calls fail, and appends have no effect.
-    lose_answers : int
+    lost_replies : int
         Number of following appends that take effect although their replies are lost.
     delay : float
         Delay of each call, in seconds.
@@ -32,7 +32,7 @@
     """
 
     down: bool = False
-    lose_answers: int = 0
+    lost_replies: int = 0
     delay: float = 0.0
     cut: set[str] = field(default_factory=set)
 
@@ -134,8 +134,8 @@
                 step="platform.append",
             )
         offset = self.log.append(stream, data)
-        if self.log.faults.lose_answers > 0:
-            self.log.faults.lose_answers -= 1
+        if self.log.faults.lost_replies > 0:
+            self.log.faults.lost_replies -= 1
             raise PlatformError("reply lost", step="platform.append")
         return offset
 
--- a/siskinroad/porcelain.py
+++ b/siskinroad/porcelain.py
@@ -195,12 +195,12 @@
     target: str,
     body: bytes,
     headers: tuple[tuple[str, str], ...],
-    limit: float,
+    timeout: float,
 ) -> tuple[int, Json]:
     async def main() -> tuple[int, Json]:
         pool = HttpPool()
         response = await pool.request(
-            at, method, target, body=body, headers=headers, limit=limit
+            at, method, target, body=body, headers=headers, timeout=timeout
         )
         pool.close()
         return response.status, msgspec.json.decode(response.body or b"null")
--- a/siskinroad/preemption.py
+++ b/siskinroad/preemption.py
@@ -112,25 +112,27 @@
             if overloaded and not background:
                 continue
             run.throttled = overloaded
-            do = Control.THROTTLE if overloaded else Control.RESUME
-            effects += self.attempts.control(run, do)
+            action = Control.THROTTLE if overloaded else Control.RESUME
+            effects += self.attempts.control(run, action)
         return effects
 
-    def _free_memory(self, view: HostView, do: Control) -> list[Effect]:
+    def _free_memory(self, view: HostView, action: Control) -> list[Effect]:
         runs = [r for r in self._runs_on(view) if r.item.workload.kind != "service"]
         if any(run.evicting or run.stopping for run in runs):
             return []
         for run in runs:
             workload = run.item.workload
-            if do is Control.CHECKPOINT and not workload.checkpoint:
+            if action is Control.CHECKPOINT and not workload.checkpoint:
                 continue
-            return self._evict(run, Control.CHECKPOINT if workload.checkpoint else do)
+            return self._evict(
+                run, Control.CHECKPOINT if workload.checkpoint else action
+            )
         return []
 
-    def _evict(self, run: Running, do: Control) -> list[Effect]:
+    def _evict(self, run: Running, action: Control) -> list[Effect]:
         run.evicting = True
         self.shard.pools[run.item.workload.pool].evicting += 1
-        return self.attempts.control(run, do)
+        return self.attempts.control(run, action)
 
     def preempt_for_urgent(self, state: PoolState) -> list[Effect]:
         """Checkpoint background work if urgent work waits for a host."""
--- a/siskinroad/request_handler.py
+++ b/siskinroad/request_handler.py
@@ -25,7 +25,7 @@
 # Refusals after which a request is tried at the owner of another shard.
 RETRIED_ELSEWHERE = {
     Reason.NO_OWNER,
-    Reason.OWNERSHIP_IN_DOUBT,
+    Reason.OWNERSHIP_UNCERTAIN,
     Reason.DRAINING,
     Reason.PEER_LOST,
 }
@@ -137,7 +137,7 @@
         return choose_shard(req.workload, loads, self.place, tried, now, self.rng)
 
     def _no_owner_refusal(self, req: Request) -> Refusal:
-        reason = Reason.HOME_UNREACHABLE if req.key else Reason.NO_OWNER
+        reason = Reason.HOME_DATA_CENTRE_UNREACHABLE if req.key else Reason.NO_OWNER
         text = f"no known daemon owns a shard of pool {req.workload.pool}"
         return Refusal(reason, step="route", retry_after=1.0, message=text)
 
--- a/siskinroad/shards.py
+++ b/siskinroad/shards.py
@@ -83,7 +83,7 @@
         self.cell: Cell | None = None
         self.owners: dict[str, ShardOwner] = {}
         self.retiring: set[ShardOwner] = set()
-        self.listed: dict[str, HostState] = {}
+        self.host_list: dict[str, HostState] = {}
         self._hosts: dict[str, list[Host]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._sequence = 0
@@ -115,19 +115,21 @@
         for shard, owner in self.owners.items():
             if shard in self._hosts:
                 owner.configure(cell, self._hosts[shard])
-                self._apply_list(owner)
+                self._apply_host_list(owner)
 
-    def set_listed(self, listed: dict[str, HostState]) -> None:
+    def set_host_list(self, host_list: dict[str, HostState]) -> None:
         """Apply the platform's list of the data centre's hosts."""
-        self.listed = listed
-        terminated = {name for name, state in listed.items() if state is HostState.GONE}
+        self.host_list = host_list
+        terminated = {
+            name for name, state in host_list.items() if state is HostState.GONE
+        }
         self.ownership.set_terminated(terminated)
         for owner in self.owners.values():
-            self._apply_list(owner)
+            self._apply_host_list(owner)
 
-    def _apply_list(self, owner: ShardOwner) -> None:
+    def _apply_host_list(self, owner: ShardOwner) -> None:
         for name in owner.monitors:
-            match self.listed.get(name):
+            match self.host_list.get(name):
                 case HostState.LEAVING:
                     owner.host_event(name, "leave")
                 case HostState.GONE:
@@ -135,7 +137,7 @@
                 case HostState.LIVE:
                     owner.host_event(name, "rejoin")
 
-    def hear_records(self, records: list[Record]) -> None:
+    def apply_records(self, records: list[Record]) -> None:
         """Pass job records that the ledger has just applied to the owners."""
         for record in records:
             match record:
@@ -147,7 +149,7 @@
                     if shard in self.owners:
                         self.owners[shard].tasks.cancel(record.job)
 
-    def hear_snapshot(self) -> None:
+    def apply_snapshot(self) -> None:
         """Pass the jobs that the ledger took from a snapshot to the owners."""
         for state in list(self.ledger.jobs.values()):
             owner = self.owners.get(state.accepted.shard)
@@ -167,7 +169,7 @@
     def _carry_out(self, effect: OwnershipEffect) -> None:
         match effect:
             case Append(record=record):
-                self.appender.put(record, CLAIM_APPEND_TIMEOUT)
+                self.appender.append(record, CLAIM_APPEND_TIMEOUT)
             case TakeOverShard():
                 self._spawn(self._take_over(effect))
             case SuspendShard(shard=shard):
@@ -177,7 +179,7 @@
                     self.owners[shard].suspend(requests=fenced)
             case ResumeShard(shard=shard):
                 self._count("resume")
-                if shard in self.owners and not self.owners[shard].stale:
+                if shard in self.owners and not self.owners[shard].is_stale:
                     self.owners[shard].resume()
             case ReleaseShard():
                 self._spawn(self._release(effect))
@@ -197,7 +199,7 @@
         ports = self._make_ports(shard)
         owner = ShardOwner(shard, effect.epoch, self.cell, hosts, ports)
         self.owners[shard] = owner
-        self._apply_list(owner)
+        self._apply_host_list(owner)
         homed = self.ledger.jobs.values()
         owner.tasks.restore([state for state in homed if state.accepted.shard == shard])
         await owner.take_over()
@@ -222,20 +224,20 @@
         )
 
     def _record_end(self, job: str, index: int, outcome: str) -> asyncio.Future[int]:
-        return self.appender.put(TasksEnded(job, [index], outcome), NO_TIMEOUT)
+        return self.appender.append(TasksEnded(job, [index], outcome), NO_TIMEOUT)
 
     def _count_owner_event(self, name: str, label: str) -> None:
         match name:
             case "retry":
                 self.metrics.retries.labels(label).inc()
             case "control":
-                self.metrics.controls.labels(label).inc()
+                self.metrics.task_controls.labels(label).inc()
             case _:
-                self.metrics.hosts.labels(label).inc()
+                self.metrics.host_events.labels(label).inc()
 
     def _observe_wait(self, workload: Workload, seconds: float) -> None:
         urgency = workload.urgency.name.lower()
-        self.metrics.waited.labels(urgency, workload.owner).observe(seconds)
+        self.metrics.wait_seconds.labels(urgency, workload.owner).observe(seconds)
 
     async def _release(self, effect: ReleaseShard) -> None:
         owner = self.owners.get(effect.shard)
@@ -243,7 +245,7 @@
             await owner.release()
         self._drop(effect.shard)
         self._count("release")
-        self.appender.put(ClaimReleased(effect.shard, effect.epoch), NO_TIMEOUT)
+        self.appender.append(ClaimReleased(effect.shard, effect.epoch), NO_TIMEOUT)
         log.info("shards: released shard %s at epoch %d", effect.shard, effect.epoch)
 
     def _drop(self, shard: str) -> None:
@@ -267,13 +269,13 @@
         ------
         Refusal
             ``NO_OWNER`` if this daemon does not own the shard,
-            ``OWNERSHIP_IN_DOUBT`` if its ownership is uncertain.
+            ``OWNERSHIP_UNCERTAIN`` if its ownership is uncertain.
         """
         owner = self.owners.get(shard)
         if owner is None:
             raise Refusal(Reason.NO_OWNER, step="owner", retry_after=0.5)
         if not self.ownership.may_place(shard, self._now()):
-            raise Refusal(Reason.OWNERSHIP_IN_DOUBT, step="owner", retry_after=2.0)
+            raise Refusal(Reason.OWNERSHIP_UNCERTAIN, step="owner", retry_after=2.0)
         if req.key:
             name = req.workload.name
             return await self.guard.run(
@@ -298,10 +300,10 @@
 
     # Updates for peers and routing
 
-    def news(self) -> list[ShardUpdate]:
+    def shard_updates(self) -> list[ShardUpdate]:
         """Return an update for peers on each owned shard that accepts work."""
         return [
-            ShardUpdate(shard, owner.epoch, owner.free_slots(), owner.waits())
+            ShardUpdate(shard, owner.epoch, owner.free_slots(), owner.expected_waits())
             for shard, owner in self.owners.items()
             if not owner.scheduler.is_paused
         ]
@@ -311,19 +313,19 @@
         now = self._now()
         return [
             ShardLoad(
-                news.shard,
-                news.shard.partition("/")[0],
+                update.shard,
+                update.shard.partition("/")[0],
                 self.ownership.name,
                 self.place,
-                news.free,
-                news.waits,
+                update.free,
+                update.waits,
                 now,
             )
-            for news in self.news()
+            for update in self.shard_updates()
         ]
 
     @property
-    def busy(self) -> int:
+    def request_count(self) -> int:
         """Number of requests queued or in progress, including at retiring owners."""
         owners = [*self.owners.values(), *self.retiring]
         return sum(len(owner.requests) for owner in owners)
--- a/siskinroad/snapshotter.py
+++ b/siskinroad/snapshotter.py
@@ -54,7 +54,7 @@
         while True:
             await asyncio.sleep(CHECK_INTERVAL)
             if not self.daemon.ledger.is_complete:
-                self.daemon.periodic.want_snapshot()
+                self.daemon.periodic.request_snapshot()
             if self.daemon.members.log_reader_name(loop.time()) == self.daemon.cfg.name:
                 await self._write_due(loop.time())
 
@@ -103,7 +103,7 @@
         name = f"{daemon.cfg.name}-{daemon.incarnation}-{self.written}"
         try:
             for part in split_snapshot(name, as_of, data):
-                await appender.put(part, APPEND_TIMEOUT)
+                await appender.append(part, APPEND_TIMEOUT)
         except PlatformError as exc:
             log.warning("snapshots: snapshot not appended: %s", exc)
 
--- a/siskinroad/stand_in_servers.py
+++ b/siskinroad/stand_in_servers.py
@@ -36,7 +36,7 @@
         try:
             return await self._route(req)
         except LogTrimmedError as exc:
-            return HttpResponse(410, msgspec.json.encode({"first": exc.first}))
+            return HttpResponse(410, msgspec.json.encode({"first": exc.first_offset}))
         except PlatformError as exc:
             return HttpResponse(503, str(exc).encode(), "text/plain")
 
@@ -90,8 +90,8 @@
                 await self.memory.start(self.host, epoch, start)
                 return HttpResponse(200)
             case ("POST", path) if path.startswith("/control/"):
-                do = Control(path.rpartition("/")[2])
-                await self.memory.control(self.host, epoch, req.body.decode(), do)
+                action = Control(path.rpartition("/")[2])
+                await self.memory.control(self.host, epoch, req.body.decode(), action)
                 return HttpResponse(200)
         return await self._forward_request(req, epoch)
 
--- a/siskinroad/upstreams.py
+++ b/siskinroad/upstreams.py
@@ -101,16 +101,24 @@
 
     @abstractmethod
     async def request(
-        self, host: Host, attempt: str, epoch: int, path: str, body: bytes, limit: float
+        self,
+        host: Host,
+        attempt: str,
+        epoch: int,
+        path: str,
+        body: bytes,
+        timeout: float,
     ) -> UpstreamResponse:
-        """Send one request and return its response within ``limit`` seconds."""
+        """Send one request and return its response within ``timeout`` seconds."""
 
     @abstractmethod
     async def start(self, host: Host, epoch: int, start: TaskStart) -> None:
         """Start a task; starting the same attempt again has no effect."""
 
     @abstractmethod
-    async def control(self, host: Host, epoch: int, attempt: str, do: Control) -> None:
+    async def control(
+        self, host: Host, epoch: int, attempt: str, action: Control
+    ) -> None:
         """Stop, checkpoint, throttle or resume a task."""
 
     @abstractmethod
--- a/siskinroad/upstreams_http.py
+++ b/siskinroad/upstreams_http.py
@@ -55,53 +55,61 @@
         self.pool = HttpPool()
 
     async def request(
-        self, host: Host, attempt: str, epoch: int, path: str, body: bytes, limit: float
+        self,
+        host: Host,
+        attempt: str,
+        epoch: int,
+        path: str,
+        body: bytes,
+        timeout: float,
     ) -> UpstreamResponse:
         """Send one request; see the base class."""
-        answer = await self._send_request(
-            host, epoch, "POST", path, body, limit, attempt
+        response = await self._send_request(
+            host, epoch, "POST", path, body, timeout, attempt
         )
-        if answer.headers.get(OUTCOME_HEADER) == NOT_RUN:
+        if response.headers.get(OUTCOME_HEADER) == NOT_RUN:
             raise Refusal(Reason.UPSTREAM_FAILED, step="upstream", peer=host.name)
-        echoed = answer.headers.get(ATTEMPT_HEADER, attempt)
+        echoed = response.headers.get(ATTEMPT_HEADER, attempt)
         if echoed != attempt:
             raise OutcomeUnknownError(
                 f"got the response to another attempt: {echoed}",
                 step="upstream",
                 peer=host.name,
             )
-        kind = answer.headers.get("content-type", "application/octet-stream")
-        return UpstreamResponse(answer.status, answer.body, kind)
+        kind = response.headers.get("content-type", "application/octet-stream")
+        return UpstreamResponse(response.status, response.body, kind)
 
     async def start(self, host: Host, epoch: int, start: TaskStart) -> None:
         """Start a task; see the base class."""
         body = msgspec.json.encode(start)
-        answer = await self._send_request(
+        response = await self._send_request(
             host, epoch, "PUT", "/tasks", body, CONTROL_TIMEOUT
         )
-        _expect_ok(answer, host)
+        _expect_ok(response, host)
 
-    async def control(self, host: Host, epoch: int, attempt: str, do: Control) -> None:
+    async def control(
+        self, host: Host, epoch: int, attempt: str, action: Control
+    ) -> None:
         """Control a task; see the base class."""
-        target = f"/control/{do.value}"
+        target = f"/control/{action.value}"
         body = attempt.encode()
-        answer = await self._send_request(
+        response = await self._send_request(
             host, epoch, "POST", target, body, CONTROL_TIMEOUT
         )
-        _expect_ok(answer, host)
+        _expect_ok(response, host)
 
     async def inventory(
         self, host: Host, epoch: int, acked: list[str], wait: float, renew: bool
     ) -> Inventory:
         """Return all tasks of a host; see the base class."""
         body = msgspec.json.encode(InventoryQuery(acked, wait, renew))
-        limit = wait + CONTROL_TIMEOUT
-        answer = await self._send_request(
-            host, epoch, "POST", "/inventory", body, limit
+        timeout = wait + CONTROL_TIMEOUT
+        response = await self._send_request(
+            host, epoch, "POST", "/inventory", body, timeout
         )
-        _expect_ok(answer, host)
+        _expect_ok(response, host)
         try:
-            return msgspec.json.decode(answer.body, type=Inventory)
+            return msgspec.json.decode(response.body, type=Inventory)
         except msgspec.MsgspecError as exc:
             raise OutcomeUnknownError(
                 f"inventory cannot be decoded: {exc}", step="inventory", peer=host.name
@@ -118,33 +126,33 @@
         method: str,
         target: str,
         body: bytes,
-        limit: float,
+        timeout: float,
         attempt: str = "",
     ) -> ClientResponse:
         headers = [(EPOCH_HEADER, str(epoch))]
         if attempt:
             headers.append((ATTEMPT_HEADER, attempt))
-        answer = await self.pool.request(
+        response = await self.pool.request(
             host.address,
             method,
             target,
             body=body,
             headers=tuple(headers),
-            limit=limit,
+            timeout=timeout,
         )
-        if answer.status == STATUS_STALE_EPOCH and EPOCH_HEADER in answer.headers:
+        if response.status == STATUS_STALE_EPOCH and EPOCH_HEADER in response.headers:
             raise StaleEpochError(
                 "host has seen a higher epoch",
                 step=target,
                 peer=host.name,
             )
-        return answer
+        return response
 
 
-def _expect_ok(answer: ClientResponse, host: Host) -> None:
-    if answer.status != STATUS_OK:
+def _expect_ok(response: ClientResponse, host: Host) -> None:
+    if response.status != STATUS_OK:
         raise OutcomeUnknownError(
-            f"expected status 200, got {answer.status}",
+            f"expected status 200, got {response.status}",
             step="upstream",
             peer=host.name,
         )
--- a/siskinroad/upstreams_memory.py
+++ b/siskinroad/upstreams_memory.py
@@ -39,7 +39,7 @@
         Connections are refused.
     silent : bool
         Calls neither arrive nor get a reply.
-    mute : bool
+    loses_replies : bool
         Calls take effect but get no reply.
     failing : bool
         Every task and request fails immediately.
@@ -47,7 +47,7 @@
 
     down: bool = False
     silent: bool = False
-    mute: bool = False
+    loses_replies: bool = False
     failing: bool = False
 
 
@@ -213,7 +213,7 @@
 
     Attributes
     ----------
-    held : asyncio.Event or None
+    delivery_gate : asyncio.Event or None
         If not None, calls are delivered only once this event is set.
     """
 
@@ -224,17 +224,23 @@
         cut: set[tuple[str, str]] | None = None,
         delay: float = 0.0005,
     ) -> None:
-        self.held: asyncio.Event | None = None
+        self.delivery_gate: asyncio.Event | None = None
         self.memory_hosts = memory_hosts
         self.client = client
         self.cut = cut if cut is not None else set()
         self.delay = delay
 
     async def request(
-        self, host: Host, attempt: str, epoch: int, path: str, body: bytes, limit: float
+        self,
+        host: Host,
+        attempt: str,
+        epoch: int,
+        path: str,
+        body: bytes,
+        timeout: float,
     ) -> UpstreamResponse:
         """Run a request; see the base class."""
-        async with _OutcomeUnknownAfter(limit, host):
+        async with _OutcomeUnknownAfter(timeout, host):
             memory_host = await self._deliver_call(host)
             memory_host.check_epoch(epoch)
             workload = path.split("/")[1]
@@ -267,7 +273,9 @@
             memory_host.start_task(start, asyncio.get_running_loop().time())
             await self._deliver_reply(memory_host, host)
 
-    async def control(self, host: Host, epoch: int, attempt: str, do: Control) -> None:
+    async def control(
+        self, host: Host, epoch: int, attempt: str, action: Control
+    ) -> None:
         """Control a task; see the base class."""
         async with _OutcomeUnknownAfter(2.0, host):
             memory_host = await self._deliver_call(host)
@@ -276,7 +284,7 @@
             memory_host.end_due_tasks(now)
             task = memory_host.tasks.get(attempt)
             if task is not None and task.state is TaskState.RUNNING:
-                _apply_control(memory_host, task, do, now)
+                _apply_control(memory_host, task, action, now)
             await self._deliver_reply(memory_host, host)
 
     async def inventory(
@@ -323,8 +331,8 @@
     async def _deliver_call(self, host: Host) -> MemoryHost:
         memory_host = self.memory_hosts.get(host.name)
         await asyncio.sleep(self.delay)
-        if self.held is not None:
-            await asyncio.shield(self.held.wait())
+        if self.delivery_gate is not None:
+            await asyncio.shield(self.delivery_gate.wait())
         if memory_host is None or memory_host.faults.down:
             raise NotSentError("connection refused", step="worker", peer=host.name)
         if memory_host.faults.silent or (self.client, host.name) in self.cut:
@@ -336,15 +344,15 @@
         if memory_host.faults.down:
             raise OutcomeUnknownError("reset", step="worker", peer=host.name)
         cut = (self.client, host.name) in self.cut
-        if memory_host.faults.silent or memory_host.faults.mute or cut:
+        if memory_host.faults.silent or memory_host.faults.loses_replies or cut:
             await asyncio.Event().wait()
 
 
 class _OutcomeUnknownAfter:
-    """Context manager that raises ``OutcomeUnknownError`` after ``limit`` seconds."""
+    """Context manager that raises ``OutcomeUnknownError`` after ``timeout`` seconds."""
 
-    def __init__(self, limit: float, host: Host) -> None:
-        self._timeout = asyncio.timeout(limit)
+    def __init__(self, timeout: float, host: Host) -> None:
+        self._timeout = asyncio.timeout(timeout)
         self._host = host
 
     async def __aenter__(self) -> None:
@@ -360,9 +368,9 @@
 
 
 def _apply_control(
-    memory_host: MemoryHost, task: _Task, do: Control, now: float
+    memory_host: MemoryHost, task: _Task, action: Control, now: float
 ) -> None:
-    match do:
+    match action:
         case Control.STOP:
             memory_host.end_task(task, TaskState.STOPPED, now)
         case Control.CHECKPOINT:
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -255,7 +255,7 @@
         record = JobAccepted(
             "east-1.x", "recount", "records", "booking/east-1/0", 2, b""
         )
-        await other.appender.put(record, 5.0)
+        await other.appender.append(record, 5.0)
         await asyncio.sleep(0.5)
         as_of = other.ledger.next_offset
         await other.snapshotter.write_all()
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -81,15 +81,15 @@
 
 def test_checks_detect_swapped_answers(monkeypatch):
     """A daemon pairs forwarded requests with the replies to earlier ones."""
-    original_hear = Forwarder.hear_reply
+    original_receive = Forwarder.receive_reply
     last = {}
 
     def swap_replies(self, msg):
         swapped = last.get("msg", msg)
         last["msg"] = msg
-        return original_hear(self, type(msg)(msg.id, swapped.status, swapped.body))
+        return original_receive(self, type(msg)(msg.id, swapped.status, swapped.body))
 
-    monkeypatch.setattr(Forwarder, "hear_reply", swap_replies)
+    monkeypatch.setattr(Forwarder, "receive_reply", swap_replies)
     assert "got the answer" in _find_violations(["log_slow"])
 
 
@@ -112,7 +112,7 @@
 
 def test_checks_detect_work_on_a_leaving_host(monkeypatch):
     """Owners ignore changes of the host list."""
-    monkeypatch.setattr(OwnedShards, "_apply_list", lambda self, owner: None)
+    monkeypatch.setattr(OwnedShards, "_apply_host_list", lambda self, owner: None)
     assert "after it was listed as leaving" in _find_violations(["host_leaves"])
 
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -30,17 +30,17 @@
         if self.is_lost(msg):
             return
         if isinstance(msg, ForwardQuery):
-            self.receiver.hear_ask(msg)
+            self.receiver.receive_query(msg)
         else:
-            self.receiver.hear(msg)
+            self.receiver.receive(msg)
 
     def to_sender(self, name, msg):
         if self.is_lost(msg):
             return
         if isinstance(msg, Reply):
-            self.forwarder.hear_reply(msg)
+            self.forwarder.receive_reply(msg)
         else:
-            self.forwarder.hear_ack(msg)
+            self.forwarder.receive_ack(msg)
 
     def forward_request(self, incarnation=7, body=b"x", left=10.0):
         key = self.forwarder.new_id()
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -68,7 +68,7 @@
         assert pool.opened == 3
         silent["now"] = True
         with pytest.raises(OutcomeUnknownError):
-            await pool.request(address, "GET", "/", limit=2.0)
+            await pool.request(address, "GET", "/", timeout=2.0)
         silent["now"] = False
         assert (await pool.request(address, "GET", "/")).status == 200
         assert (pool.opened, pool.timeouts) == (4, 1)
@@ -80,7 +80,7 @@
     async def main():
         address = await serve(lambda head: None)
         pool = HttpPool(connections_per_peer=1)
-        first = asyncio.create_task(pool.request(address, "GET", "/", limit=3.0))
+        first = asyncio.create_task(pool.request(address, "GET", "/", timeout=3.0))
         await asyncio.sleep(1)
         with pytest.raises(NotSentError, match="too many"):
             await pool.request(address, "GET", "/")
--- a/tests/test_peers_zmq.py
+++ b/tests/test_peers_zmq.py
@@ -4,7 +4,7 @@
 
 from siskinroad.cluster import free_addresses
 from siskinroad.messages import ForwardAck
-from siskinroad.peers_zmq import ZmqTransport, new_keys
+from siskinroad.peers_zmq import ZmqTransport, generate_keys
 from siskinroad.settings import Peer, Settings
 
 # Messages sent, 50 ms apart, before a missing delivery counts as a failure.
@@ -43,7 +43,7 @@
 def test_messages_are_delivered_with_and_without_keys():
     async def main(with_keys):
         address_a, address_b = free_addresses(2)
-        keys = [new_keys() if with_keys else ("", "") for _ in range(2)]
+        keys = [generate_keys() if with_keys else ("", "") for _ in range(2)]
         a, received_a = open_transport(
             "a", address_a, (Peer("b", address_b, "d", "r", keys[1][0]),), keys[0]
         )
@@ -65,7 +65,11 @@
 def test_messages_from_a_peer_with_an_unknown_key_are_rejected():
     async def main():
         address_a, address_b = free_addresses(2)
-        known_keys, own_keys, unknown_keys = new_keys(), new_keys(), new_keys()
+        known_keys, own_keys, unknown_keys = (
+            generate_keys(),
+            generate_keys(),
+            generate_keys(),
+        )
         b, received_b = open_transport(
             "b", address_b, (Peer("a", address_a, "d", "r", known_keys[0]),), own_keys
         )
@@ -120,7 +124,7 @@
 
 
 def test_a_new_incarnation_is_reached_without_the_reconnect_pause():
-    """``learn`` must replace a lost connection.
+    """``update_peer`` must replace a lost connection.
 
     ZeroMQ's pause between connection attempts grows while the peer is down, which
     would delay the first messages to its new incarnation.
@@ -137,7 +141,7 @@
             await asyncio.sleep(0.01)
         old_dealer = a._dealers["b"]
         b, received_b = open_transport("b", address_b, ())
-        a.learn(peer)
+        a.update_peer(peer)
         a.send("b", ForwardAck("x"))
         assert a._dealers["b"] is not old_dealer
         assert await send_until_received(received_b, a, "b")
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -81,7 +81,7 @@
             target,
             body=body,
             headers=fields,
-            limit=8.0,
+            timeout=8.0,
         )
 
     async def wait_until(self, condition, tries=100):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -159,7 +159,7 @@
     submit(scheduler, "paper", 40)
     effects = scheduler.submit(item(scheduler, "quote", "q/0", 1.0), 1.0)
     controls = [e for e in effects if isinstance(e, ControlTask)]
-    assert [e.do for e in controls] == [Control.CHECKPOINT]
+    assert [e.action for e in controls] == [Control.CHECKPOINT]
     effects = scheduler.ended(controls[0].key, 0, End.CHECKPOINTED, 1.2)
     assert [e.item.key for e in start_effects(effects)] == ["q/0"]
     assert scheduler.shard.items[controls[0].key].state == "waiting"
@@ -236,7 +236,7 @@
     def report(gib):
         reports = [(key, 0, Usage(2000, gib * 1024)) for key in keys]
         effects = scheduler.usage("h0", reports, 1.0)
-        return [e.do for e in effects if isinstance(e, ControlTask)]
+        return [e.action for e in effects if isinstance(e, ControlTask)]
 
     assert report(100) == []
     assert report(116) == []
--- a/tests/work/cell.py
+++ b/tests/work/cell.py
@@ -100,7 +100,7 @@
 
     def start(self, name):
         self.incarnations += 1
-        self.network.dark.discard(name)
+        self.network.powered_off.discard(name)
         peers = self.network.join(name, CODEC)
         outside = Outside(
             MemoryStore(self.logs, name), self.hosts, self.advisor, PlainDecoder()
@@ -124,7 +124,7 @@
 
     async def kill(self, name, power_loss=False):
         if power_loss:
-            self.network.dark.add(name)
+            self.network.powered_off.add(name)
         await self.daemons.pop(name).close()
 
     def owner(self):
