--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from siskinroad.tables import table
+from siskinroad.tables import format_table
 
 DOCS = Path(__file__).parent.parent / "docs"
 PAGE = DOCS / "CAPACITY.md"
@@ -218,7 +218,7 @@
     ]
     lines = []
     for title, rows in parts:
-        body = table(list(rows[0]), rows)
+        body = format_table(list(rows[0]), rows)
         lines.append(f"### {title}\n\n```\n{body}\n```\n")
     return "\n".join(lines)
 
--- a/bench/clock.py
+++ b/bench/clock.py
@@ -42,7 +42,7 @@
         return self._selector_clock.now
 
 
-def run(coro: Coroutine[Any, Any, T]) -> T:
+def run_on_paused_clock(coro: Coroutine[Any, Any, T]) -> T:
     """Run a coroutine to its end on a paused clock; cancel the tasks that it leaves."""
     loop = PausedClockLoop()
     try:
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -21,7 +21,7 @@
 from siskinroad.load import percentile
 from siskinroad.queues import Item
 from siskinroad.scheduler import Scheduler
-from siskinroad.tables import table
+from siskinroad.tables import format_table
 
 SEED = 3
 POLICIES = ("siskinroad", "first come", "strict priority")
@@ -502,7 +502,7 @@
 def main(args: list[str]) -> int:
     found = measure("--quick" in args)
     for name, rows in found.items():
-        print(f"\n{name}\n{table(list(rows[0]), rows)}")
+        print(f"\n{name}\n{format_table(list(rows[0]), rows)}")
     if "--json" in args:
         with open(args[args.index("--json") + 1], "w", encoding="utf-8") as file:
             json.dump(found, file, indent=1)
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -7,8 +7,8 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any, TypeVar
 
-from bench.clock import run
-from bench.invariants import CallerRequest, Observations, check
+from bench.clock import run_on_paused_clock
+from bench.invariants import CallerRequest, Observations, check_invariants
 from bench.world import World, small_cell
 from siskinroad.entry import Daemon
 from siskinroad.errors import ConflictError, PlatformError, Refusal, SiskinroadError
@@ -57,7 +57,7 @@
         return asyncio.get_running_loop().time()
 
     async def run(self) -> list[str]:
-        await self.world.ready()
+        await self.world.start_and_configure()
         self.latest_revision = 1
         watcher = asyncio.create_task(self._record_revisions())
         async with asyncio.TaskGroup() as group:
@@ -67,7 +67,10 @@
                 group.create_task(self._inject_fault(name))
         await self._recover()
         watcher.cancel()
-        return check(self.observations, self.world.workers) + self._find_stale_daemons()
+        return (
+            check_invariants(self.observations, self.world.memory_hosts)
+            + self._find_stale_daemons()
+        )
 
     async def _inject_fault(self, name: str) -> None:
         await asyncio.sleep(self.rng.uniform(1.0, 8.0))
@@ -108,7 +111,7 @@
         request = CallerRequest(body, service, service == "quote", self.now())
         key = body.decode() if service == "dispatch" else ""
         try:
-            answer = await self.world.ask(name, service, body, key)
+            answer = await self.world.send_request(name, service, body, key)
         except Refusal as exc:
             request.reason, request.outcome = exc.reason.value, exc.outcome.value
         except asyncio.CancelledError:
@@ -127,7 +130,7 @@
             return
         name = self.rng.choice(sorted(self.world.daemons))
         try:
-            await self.world.ask(name, service, body, key)
+            await self.world.send_request(name, service, body, key)
         except Refusal:
             return
 
@@ -173,12 +176,12 @@
         world.network.faults.loss = 0.0
         world.network.faults.duplicate = 0.0
         world.network.faults.jitter = 0.0
-        world.cut.clear()
-        for worker in world.workers.values():
-            worker.faults.down = worker.faults.silent = worker.faults.loses_replies = (
-                False
-            )
-            worker.faults.failing = False
+        world.blocked_calls.clear()
+        for memory_host in world.memory_hosts.values():
+            memory_host.faults.down = memory_host.faults.silent = (
+                memory_host.faults.loses_replies
+            ) = False
+            memory_host.faults.failing = False
         for name in NAMES:
             if name not in world.daemons:
                 world.start(name)
@@ -217,8 +220,8 @@
         names = [name for name in sorted(self.world.daemons) if name.startswith(prefix)]
         return self.rng.choice(names) if names else ""
 
-    def worker(self):
-        return self.world.workers[self.rng.choice(sorted(self.world.workers))]
+    def pick_host(self):
+        return self.world.memory_hosts[self.rng.choice(sorted(self.world.memory_hosts))]
 
     async def pause(self) -> None:
         await asyncio.sleep(self.rng.uniform(0.5, MAX_FAULT_TIME))
@@ -283,35 +286,35 @@
 
 async def host_fails(session: Session) -> None:
     """Crash a host, which then refuses connections."""
-    worker = session.worker()
-    worker.faults.down = True
-    worker.crash(session.now())
+    memory_host = session.pick_host()
+    memory_host.faults.down = True
+    memory_host.crash(session.now())
     await session.pause()
-    worker.faults.down = False
+    memory_host.faults.down = False
 
 
 async def host_silent(session: Session) -> None:
     """Drop all calls to a host."""
-    worker = session.worker()
-    worker.faults.silent = True
+    memory_host = session.pick_host()
+    memory_host.faults.silent = True
     await session.pause()
-    worker.faults.silent = False
+    memory_host.faults.silent = False
 
 
 async def host_mute(session: Session) -> None:
     """Let calls to a host take effect, but drop its answers."""
-    worker = session.worker()
-    worker.faults.loses_replies = True
+    memory_host = session.pick_host()
+    memory_host.faults.loses_replies = True
     await session.pause()
-    worker.faults.loses_replies = False
+    memory_host.faults.loses_replies = False
 
 
 async def host_fails_everything(session: Session) -> None:
     """Let all tasks and requests on a host fail at once."""
-    worker = session.worker()
-    worker.faults.failing = True
+    memory_host = session.pick_host()
+    memory_host.faults.failing = True
     await session.pause()
-    worker.faults.failing = False
+    memory_host.faults.failing = False
 
 
 async def log_down(session: Session) -> None:
@@ -382,9 +385,9 @@
     }
     if cut_log:
         faults.cut.add(name)
-    session.world.cut |= hosts
+    session.world.blocked_calls |= hosts
     await _cut_links(session, [name], others)
-    session.world.cut -= hosts
+    session.world.blocked_calls -= hosts
     faults.cut.discard(name)
 
 
@@ -457,15 +460,17 @@
 
 async def host_leaves(session: Session) -> None:
     """List a host as leaving for 8 s; does nothing beside other faults."""
-    worker = session.worker()
-    centre = "east-1" if worker.name.startswith("e") else "west-1"
+    memory_host = session.pick_host()
+    centre = "east-1" if memory_host.name.startswith("e") else "west-1"
     if session.faults != ["host_leaves"]:
         return
-    session.world.log.set_listed(centre, worker.name, HostState.LEAVING)
+    session.world.log.set_host_state(centre, memory_host.name, HostState.LEAVING)
     since = session.now()
     await asyncio.sleep(8.0)
-    session.world.log.set_listed(centre, worker.name, HostState.LIVE)
-    session.observations.leaving_periods.append((worker.name, since, session.now()))
+    session.world.log.set_host_state(centre, memory_host.name, HostState.LIVE)
+    session.observations.leaving_periods.append(
+        (memory_host.name, since, session.now())
+    )
 
 
 async def rolling_replacement(session: Session) -> None:
@@ -524,4 +529,4 @@
             ]
             return [f"{len(waiting)} requests still pending after {MAX_TIME} s"]
 
-    return run(main())
+    return run_on_paused_clock(main())
--- a/bench/golden.py
+++ b/bench/golden.py
@@ -10,7 +10,7 @@
 import re
 from pathlib import Path
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from bench.world import World
 from siskinroad.callers import CallerApi
 from siskinroad.httpd import serve_connection
@@ -48,7 +48,7 @@
         centres = sorted(re.findall(r'data_centres = \["([^"]+)"\]', text))
         names = [f"{centre}{x}" for centre in centres for x in "ab"]
         self.world = World(text, names, seed)
-        self.world.seconds = REQUEST_SECONDS
+        self.world.run_time_s = REQUEST_SECONDS
         self.lines: list[str] = []
         self.default_daemon = names[0]
 
@@ -163,7 +163,7 @@
 
 def transcript(cell: str) -> str:
     """Return the transcript of the session with one example cell."""
-    return run(_run_session(cell, *SESSIONS[cell]))
+    return run_on_paused_clock(_run_session(cell, *SESSIONS[cell]))
 
 
 if __name__ == "__main__":
--- a/bench/invariants.py
+++ b/bench/invariants.py
@@ -59,11 +59,15 @@
     must_answer: bool = False
 
 
-def check(observations: Observations, workers: dict[str, MemoryHost]) -> list[str]:
+def check_invariants(
+    observations: Observations, memory_hosts: dict[str, MemoryHost]
+) -> list[str]:
     """Return a message for each violation of an invariant."""
     violations: list[str] = []
-    events = sorted((e for w in workers.values() for e in w.events), key=_event_number)
-    violations += _check_host_capacity(events, workers)
+    events = sorted(
+        (e for w in memory_hosts.values() for e in w.events), key=_event_number
+    )
+    violations += _check_host_capacity(events, memory_hosts)
     violations += _check_single_placement(events)
     violations += _check_answers(observations)
     violations += _check_refused_not_run(observations, events)
@@ -80,14 +84,14 @@
 
 
 def _check_host_capacity(
-    events: list[HostEvent], workers: dict[str, MemoryHost]
+    events: list[HostEvent], memory_hosts: dict[str, MemoryHost]
 ) -> list[str]:
     used: dict[str, Resources] = defaultdict(Resources)
     violations = []
     for event in events:
         if event.kind == "start":
             used[event.host] = used[event.host] + event.used
-            host_capacity = workers[event.host].capacity
+            host_capacity = memory_hosts[event.host].capacity
             if not used[event.host].fits(host_capacity):
                 violations.append(
                     f"{event.host} overfilled at {event.time:.2f} s: "
--- a/bench/model.py
+++ b/bench/model.py
@@ -206,7 +206,7 @@
 ]
 
 
-def steady() -> bytes:
+def create_steady_state() -> bytes:
     """Return a pickled model in which each shard has one owner."""
     model = Model({name: Node(name) for name in NAMES})
     for _ in range(16):
@@ -227,16 +227,16 @@
     AssertionError
         With the sequence that lets two daemons place work on one shard.
     """
-    start = steady()
+    start = create_steady_state()
     tried = 0
     for sequence in itertools.product(actions or ACTIONS, repeat=depth):
         tried += 1
-        conflict = follow(start, sequence)
+        conflict = run_sequence(start, sequence)
         assert not conflict, f"{sequence}: {conflict}"
     return tried
 
 
-def follow(start: bytes, sequence: tuple[tuple[str, ...], ...]) -> str:
+def run_sequence(start: bytes, sequence: tuple[tuple[str, ...], ...]) -> str:
     """Run one sequence; return the conflict that it leads to, or an empty string."""
     model: Model = pickle.loads(start)
     for name, *args in sequence:
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -31,7 +31,7 @@
 from siskinroad.load import percentile
 from siskinroad.platform_memory import MemoryPlatformState
 from siskinroad.stand_in_servers import HostServer, PlatformServer
-from siskinroad.tables import table
+from siskinroad.tables import format_table
 from siskinroad.upstreams_memory import MemoryHost
 
 ROOT = Path(__file__).parent.parent
@@ -83,10 +83,10 @@
         cell = parse_cell(self.text)
         for host in cell.hosts():
             capacity = cell.pools["p"].capacity
-            worker = MemoryHost(
+            memory_host = MemoryHost(
                 host.name, capacity, random.Random(1), duration=lambda w, r: 0.0
             )
-            address = await HostServer(worker, host).http.listen("127.0.0.1:0")
+            address = await HostServer(memory_host, host).http.listen("127.0.0.1:0")
             self.text = self.text.replace(f'"{host.address}"', f'"{address}"')
         ports = free_addresses(3 * len(self.names))
         self.ports = {n: ports[3 * i : 3 * i + 3] for i, n in enumerate(self.names)}
@@ -332,7 +332,7 @@
         sizes = [int(argument) for argument in arguments] or [1, 7, 21, 70]
         rows = [asyncio.run(measure_at_rest(size)) for size in sizes]
         name = "processes.json"
-    print(table(list(rows[0]), rows))
+    print(format_table(list(rows[0]), rows))
     (ROOT / "docs" / name).write_text(json.dumps(rows, indent=1) + "\n")
     return 0
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from bench.world import CELL, SERVICES, World, pool
 from siskinroad.cell import parse_cell
 from siskinroad.deltas import make_delta
@@ -218,7 +218,7 @@
     """Measure the bytes and messages a second sent, and log requests made, at rest."""
     names = [f"east-1{chr(97 + i)}" for i in range(peers + 1)]
     world = World(_make_cell_text(4), names, SEED)
-    await world.ready()
+    await world.start_and_configure()
     sent = [sum(d.peers.traffic.bytes_sent.values()) for d in world.daemons.values()]
     messages_before = [
         sum(d.peers.traffic.messages_sent.values()) for d in world.daemons.values()
@@ -243,7 +243,9 @@
 def measure_control_slopes() -> dict[str, Any]:
     """Measure how idle traffic grows with the peers in the data centre."""
     sizes = [1, 2, 4, 8, 16]
-    found = {peers: run(_measure_idle_rates(peers, 60.0)) for peers in sizes}
+    found = {
+        peers: run_on_paused_clock(_measure_idle_rates(peers, 60.0)) for peers in sizes
+    }
     slopes: dict[str, Any] = {}
     for key in ("reader", "other", "messages", "reads", "appends"):
         points = [(peers, found[peers][key]) for peers in sizes]
@@ -256,7 +258,7 @@
     names = [f"{centre}{x}" for centre in ("east-1", "west-1") for x in "abc"]
     hosts = [("e0", "r", "east-1"), ("w0", "r", "west-1")]
     world = World(CELL + pool("booking", hosts) + SERVICES, names, SEED)
-    await world.ready()
+    await world.start_and_configure()
     before = _count_digest_bytes(world)
     await asyncio.sleep(seconds)
     return (_count_digest_bytes(world) - before) / seconds
@@ -322,7 +324,9 @@
         "messages": measure_message_sizes(),
         "control": measure_control_slopes(),
         "abroad": {
-            "digest bytes a second, pair": round(run(_measure_digest_rate(60.0)), 2)
+            "digest bytes a second, pair": round(
+                run_on_paused_clock(_measure_digest_rate(60.0)), 2
+            )
         },
         "times": measure_step_times(),
     }
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -14,22 +14,22 @@
 from bench.faults import FAULTS, run_session
 
 # Faults that are not combined with others
-EXCLUSIVE_FAULTS = {"host_leaves", "rolling_replacement"}
+SOLO_FAULTS = {"host_leaves", "rolling_replacement"}
 # Sessions if the command names no number
 DEFAULT_RUNS = 3000
 
 
 def run_seeded_session(seed: int) -> tuple[int, list[str], list[str]]:
-    """Run two to four random faults, or one exclusive fault, under one seed.
+    """Run two to four random faults, or one solo fault, under one seed.
 
     Returns the seed, the faults and the violated invariants.
     """
     logging.disable(logging.CRITICAL)
     rng = random.Random(seed)
-    candidates = sorted(set(FAULTS) - EXCLUSIVE_FAULTS)
+    candidates = sorted(set(FAULTS) - SOLO_FAULTS)
     chosen = rng.sample(candidates, rng.randrange(2, 5))
     if rng.random() < 0.1:
-        chosen = [rng.choice(sorted(EXCLUSIVE_FAULTS))]
+        chosen = [rng.choice(sorted(SOLO_FAULTS))]
     return seed, chosen, run_session(seed, chosen, rng.random() < 0.5)
 
 
--- a/bench/world.py
+++ b/bench/world.py
@@ -95,8 +95,8 @@
     """Daemons with the platform, the network and the hosts around them.
 
     The name of a daemon is its data centre and one letter, such as ``east-1a``.
-    ``seconds`` is the mean run time by workload; ``cut`` holds the pairs of daemon and
-    host that cannot reach each other.
+    ``run_time_s`` is the mean run time by workload; ``blocked_calls`` holds the pairs
+    of daemon and host that cannot reach each other.
     """
 
     text: str
@@ -110,7 +110,7 @@
         self.log = MemoryPlatformState()
         self.network = MemoryNetwork(random.Random(self.seed + 1))
         sequence = itertools.count()
-        self.workers = {
+        self.memory_hosts = {
             host.name: MemoryHost(
                 host.name,
                 self.cell.pools[host.pool].capacity,
@@ -122,13 +122,13 @@
             )
             for host in self.cell.hosts()
         }
-        self.cut: set[tuple[str, str]] = set()
+        self.blocked_calls: set[tuple[str, str]] = set()
         self.daemons: dict[str, Daemon] = {}
         self.incarnation = 0
-        self.seconds = {"quote": 0.1, "dispatch": 0.1, "recount": 3.0, "render": 5.0}
+        self.run_time_s = {"quote": 0.1, "dispatch": 0.1, "recount": 3.0, "render": 5.0}
 
     def duration(self, workload: str, rng: random.Random) -> float:
-        return self.seconds.get(workload, 1.0) * rng.uniform(0.8, 1.2)
+        return self.run_time_s.get(workload, 1.0) * rng.uniform(0.8, 1.2)
 
     def demand(self, workload: str):
         return self.cell.workloads[workload].demand
@@ -149,7 +149,7 @@
             self.create_settings(name),
             self.incarnation,
             MemoryPlatform(self.log, name),
-            MemoryUpstreamClient(self.workers, name, self.cut),
+            MemoryUpstreamClient(self.memory_hosts, name, self.blocked_calls),
             self.network.join(name),
             random.Random(f"{self.seed}{name}{self.incarnation}"),
         )
@@ -173,7 +173,7 @@
     async def settle(self, seconds: float = 6.0) -> None:
         await asyncio.sleep(seconds)
 
-    async def ready(self) -> None:
+    async def start_and_configure(self) -> None:
         """Start all daemons, apply the cell and give shards 6 s to get owners."""
         await self.start_all()
         await asyncio.sleep(1.0)
@@ -188,7 +188,7 @@
                 found.setdefault(shard, []).append(name)
         return found
 
-    async def ask(
+    async def send_request(
         self, name: str, service: str, body: bytes = b"x", key: str = "", limit=20.0
     ) -> UpstreamResponse:
         """Send a request to a daemon; ``limit`` is its time limit in seconds."""
@@ -202,7 +202,11 @@
     @property
     def events(self):
         return sorted(
-            (event for worker in self.workers.values() for event in worker.events),
+            (
+                event
+                for memory_host in self.memory_hosts.values()
+                for event in memory_host.events
+            ),
             key=lambda event: event.number,
         )
 
--- a/siskinroad/cli.py
+++ b/siskinroad/cli.py
@@ -20,7 +20,7 @@
     Refusal,
     SiskinroadError,
 )
-from siskinroad.tables import table
+from siskinroad.tables import format_table
 
 __all__ = ["main"]
 
@@ -112,7 +112,7 @@
         comparison = porcelain.compare(
             args["FILE"], args["--at"], token=_operator_token(args)
         )
-        text = "\n".join(comparison["diff"]) or "no changes"
+        text = "\n".join(comparison["diff"]) or "no change"
         _print_result(comparison, args["--json"], text)
         return EXIT_OK
 
@@ -149,7 +149,7 @@
             f"peers {', '.join(daemon_info['members']) or 'none'}"
         )
         columns = ["shard", "owner", "state", "epoch", "waiting", "running"]
-        text = heading + "\n" + table(columns, daemon_info["shards"])
+        text = heading + "\n" + format_table(columns, daemon_info["shards"])
         _print_result(daemon_info, args["--json"], text)
         return EXIT_OK
 
@@ -161,7 +161,7 @@
         """Print one line per shard and workload with waiting work."""
         entries = porcelain.queue(args["--at"], token=_operator_token(args))
         columns = ["workload", "owner", "urgency", "waiting", "oldest", "blocked"]
-        _print_result(entries, args["--json"], table(columns, entries))
+        _print_result(entries, args["--json"], format_table(columns, entries))
         return EXIT_OK
 
 
@@ -174,7 +174,7 @@
 
         usage_report = porcelain.report(args["--at"], token=_operator_token(args))
         columns = ["owner", "used", "borrowed", "lent", "idle"]
-        text = table(columns, usage_report["lines"])
+        text = format_table(columns, usage_report["lines"])
         text += (
             f"\ncapacity {usage_report['capacity']} (processor, GiB, accelerator hours)"
         )
@@ -250,7 +250,7 @@
             int(args["--bytes"]),
         )
         rows = [{"figure": name, "value": value} for name, value in results.items()]
-        _print_result(results, args["--json"], table(["figure", "value"], rows))
+        _print_result(results, args["--json"], format_table(["figure", "value"], rows))
         return EXIT_OK
 
 
--- a/siskinroad/cluster.py
+++ b/siskinroad/cluster.py
@@ -59,7 +59,7 @@
         self.seed = seed
         self.log = MemoryPlatformState()
         self.platform = PlatformServer(self.log)
-        self.workers: dict[str, MemoryHost] = {}
+        self.memory_hosts: dict[str, MemoryHost] = {}
         self.servers: list[HostServer] = []
         self.nodes: list[Node] = []
         self._duration = duration
@@ -97,7 +97,7 @@
         server = HostServer(memory_host, host)
         address = await server.http.listen("127.0.0.1:0")
         self.text = self.text.replace(f'"{host.address}"', f'"{address}"')
-        self.workers[host.name] = memory_host
+        self.memory_hosts[host.name] = memory_host
         self.servers.append(server)
 
     def _assign_peers(self) -> list[Peer]:
@@ -118,7 +118,7 @@
         await asyncio.sleep(1.0)
         await self.nodes[0].daemon.publisher.apply(self.text, None)
 
-    async def owned(self, within: float = 15.0) -> bool:
+    async def wait_until_owned(self, within: float = 15.0) -> bool:
         """Wait up to ``within`` seconds until every shard has an owner.
 
         Returns
@@ -141,7 +141,7 @@
         return False
 
     @property
-    def callers(self) -> list[str]:
+    def caller_addresses(self) -> list[str]:
         """Addresses at which the daemons accept callers."""
         return [node.callers for node in self.nodes]
 
--- a/siskinroad/demo.py
+++ b/siskinroad/demo.py
@@ -11,7 +11,7 @@
 from siskinroad.cluster import Cluster
 from siskinroad.http_client import HttpPool
 from siskinroad.load import LoadResult, percentile, send_load
-from siskinroad.tables import table
+from siskinroad.tables import format_table
 
 __all__ = ["run_demo"]
 
@@ -89,14 +89,14 @@
     """Run both cells for ``seconds`` of load each and return a table of results."""
     rows = [asyncio.run(_run_cell(demo_cell, seconds)) for demo_cell in DEMO_CELLS]
     columns = list(rows[0])
-    return table(columns, rows)
+    return format_table(columns, rows)
 
 
 async def _run_cell(demo_cell: _DemoCell, seconds: float) -> dict[str, object]:
     cluster = Cluster(_read_example(demo_cell.file), _draw_run_time_s, SEED)
     await cluster.open()
     try:
-        if not await cluster.owned():
+        if not await cluster.wait_until_owned():
             return {"cell": demo_cell.file, "fault": "not every shard has an owner"}
         await asyncio.sleep(2.5)
         return await _measure_cell(cluster, demo_cell, seconds)
@@ -113,7 +113,7 @@
     jobs = await _submit_jobs(cluster, demo_cell)
     peak_packing = loop.create_task(_measure_peak_packing(cluster, seconds))
     rng = random.Random(SEED)
-    addresses = cluster.callers
+    addresses = cluster.caller_addresses
     urgent, keyed = await asyncio.gather(
         send_load(
             addresses, demo_cell.requests, REQUESTS_PER_SECOND, seconds, 1024, rng
@@ -168,7 +168,7 @@
     ] * GANG_JOBS
     submissions.append((demo_cell.single, 20))
     for number, (workload, count) in enumerate(submissions):
-        address = cluster.callers[number % len(cluster.callers)]
+        address = cluster.caller_addresses[number % len(cluster.caller_addresses)]
         target = f"/v1/jobs/{workload}?count={count}"
         response = await pool.request(address, "POST", target)
         accepted += response.status == 202
--- a/siskinroad/platform_memory.py
+++ b/siskinroad/platform_memory.py
@@ -55,7 +55,7 @@
     ----------
     retention : int
         Maximum number of records retained per stream.
-    listed : dict
+    host_lists : dict
         State of each listed host, by data centre and host name.
     appends, reads : int
         Number of appends and reads since the start.
@@ -65,7 +65,7 @@
 
     retention: int = 100_000
     faults: PlatformFaults = field(default_factory=PlatformFaults)
-    listed: dict[str, dict[str, HostState]] = field(default_factory=dict)
+    host_lists: dict[str, dict[str, HostState]] = field(default_factory=dict)
     list_version: int = 1
     appends: int = 0
     reads: int = 0
@@ -97,9 +97,9 @@
         self.bytes_out += sum(map(len, records))
         return LogPage(log.first, log.first + low, records, log.tail)
 
-    def set_listed(self, data_centre: str, name: str, state: HostState) -> None:
+    def set_host_state(self, data_centre: str, name: str, state: HostState) -> None:
         """Set the state of a host in the list of its data centre."""
-        self.listed.setdefault(data_centre, {})[name] = state
+        self.host_lists.setdefault(data_centre, {})[name] = state
         self.list_version += 1
 
     def trim(self, stream: str, first: int) -> None:
@@ -150,8 +150,10 @@
         version = str(self.log.list_version)
         if version == known:
             return HostList(version, None)
-        listed = self.log.listed.get(data_centre, {})
-        return HostList(version, [ListedHost(n, state) for n, state in listed.items()])
+        host_lists = self.log.host_lists.get(data_centre, {})
+        return HostList(
+            version, [ListedHost(n, state) for n, state in host_lists.items()]
+        )
 
     async def _apply_faults(self, step: str) -> None:
         faults = self.log.faults
--- a/siskinroad/tables.py
+++ b/siskinroad/tables.py
@@ -5,10 +5,10 @@
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-__all__ = ["table"]
+__all__ = ["format_table"]
 
 
-def table(columns: Sequence[str], rows: Sequence[Mapping[str, Any]]) -> str:
+def format_table(columns: Sequence[str], rows: Sequence[Mapping[str, Any]]) -> str:
     """Format rows as left-aligned text columns under a header line."""
     cells = [[str(row.get(column, "")) for column in columns] for row in rows]
     widths = [
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from bench.world import World, small_cell
 from siskinroad.errors import Refusal
 from siskinroad.records import JobAccepted
@@ -15,13 +15,13 @@
 def test_a_request_is_served_from_every_daemon():
     async def main():
         world = World(small_cell(), NAMES)
-        await world.ready()
+        await world.start_and_configure()
         assert len(world.owners()) == 2
         for name in NAMES:
-            answer = await world.ask(name, "quote", b"hello")
+            answer = await world.send_request(name, "quote", b"hello")
             assert answer.body == b"hello"
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_a_job_runs_to_its_end_and_a_repeated_submission_returns_it():
@@ -29,7 +29,7 @@
 
     async def main():
         world = World(small_cell(), NAMES)
-        await world.ready()
+        await world.start_and_configure()
         job_service = world.daemons["east-1b"].jobs
         cell = world.daemons["east-1b"].cell()
         view = await job_service.submit(
@@ -45,7 +45,7 @@
         gang = await job_service.submit(cell, cell.workloads["render"], 1, b"", "")
         assert (await job_service.watch(gang.job, 60.0)).done == 1
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_a_daemon_without_configuration_refuses_with_that_reason():
@@ -55,10 +55,10 @@
         await world.start_all()
         await asyncio.sleep(3)
         with pytest.raises(Refusal) as info:
-            await world.ask("east-1a", "quote")
+            await world.send_request("east-1a", "quote")
         assert info.value.reason == "no_configuration"
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def _owner_of(world, shard):
@@ -70,16 +70,18 @@
 
     async def main():
         world = World(small_cell(), NAMES)
-        await world.ready()
+        await world.start_and_configure()
         loop = asyncio.get_running_loop()
-        world.seconds["quote"] = 0.5
+        world.run_time_s["quote"] = 0.5
         dead = _owner_of(world, "booking/east-1/0")
         other = next(n for n in NAMES[:2] if n != dead)
-        in_flight = asyncio.create_task(world.ask(other, "quote", b"in flight"))
+        in_flight = asyncio.create_task(
+            world.send_request(other, "quote", b"in flight")
+        )
         await asyncio.sleep(0.1)
         killed_at = loop.time()
         await world.kill(dead)
-        late = [asyncio.create_task(world.ask(other, "quote", b"late"))]
+        late = [asyncio.create_task(world.send_request(other, "quote", b"late"))]
         await asyncio.gather(in_flight, *late)
         starts = [
             e.time for e in world.events if e.host[0] == "w" and e.kind == "start"
@@ -87,19 +89,19 @@
         assert len(starts) == 2
         assert max(starts) - killed_at <= 1.8
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_the_shard_of_a_dead_daemon_is_taken_over_within_five_seconds():
     async def main():
         world = World(small_cell(), NAMES)
-        await world.ready()
+        await world.start_and_configure()
         dead = _owner_of(world, "booking/east-1/0")
         await world.kill(dead)
         await asyncio.sleep(5.0)
         assert _owner_of(world, "booking/east-1/0") != dead
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_a_restarted_daemon_does_not_wait_for_its_own_lease():
@@ -107,19 +109,19 @@
 
     async def main():
         world = World(small_cell(), ["east-1a"])
-        await world.ready()
+        await world.start_and_configure()
         await world.kill("east-1a")
         world.start("east-1a")
         await asyncio.sleep(2.0)
-        assert (await world.ask("east-1a", "quote", b"again")).body == b"again"
+        assert (await world.send_request("east-1a", "quote", b"again")).body == b"again"
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_records_stay_within_the_append_budget_under_load_and_a_restart():
     async def main():
         world = World(small_cell(), NAMES)
-        await world.ready()
+        await world.start_and_configure()
         before, began = world.log.appends, asyncio.get_running_loop().time()
         await world.kill("east-1a")
         world.start("east-1a")
@@ -129,12 +131,12 @@
             await job_service.submit(
                 cell, cell.workloads["recount"], 5, b"", f"j{number}"
             )
-            await world.ask("west-1a", "dispatch", b"x", f"key{number}")
+            await world.send_request("west-1a", "dispatch", b"x", f"key{number}")
         await asyncio.sleep(30.0)
         elapsed = asyncio.get_running_loop().time() - began
         assert (world.log.appends - before) / elapsed <= 50
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_without_the_platform_requests_are_served_and_new_keys_refused():
@@ -142,20 +144,22 @@
 
     async def main():
         world = World(small_cell(), NAMES)
-        await world.ready()
+        await world.start_and_configure()
         world.log.faults.cut |= {"east-1a", "east-1b"}
         await asyncio.sleep(30.0)
-        assert (await world.ask("east-1a", "quote", b"served")).body == b"served"
+        assert (
+            await world.send_request("east-1a", "quote", b"served")
+        ).body == b"served"
         refused = 0
         for number in range(12):
             try:
-                await world.ask("east-1a", "dispatch", b"x", f"k{number}")
+                await world.send_request("east-1a", "dispatch", b"x", f"k{number}")
             except Refusal as exc:
                 assert (exc.reason, exc.outcome) == ("log_unavailable", "not run")
                 refused += 1
         assert 0 < refused < 12
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_an_outage_of_all_hosts_causes_no_retry_storm():
@@ -163,23 +167,25 @@
 
     async def main():
         world = World(small_cell(), NAMES)
-        await world.ready()
-        for worker in world.workers.values():
-            worker.faults.failing = True
+        await world.start_and_configure()
+        for memory_host in world.memory_hosts.values():
+            memory_host.faults.failing = True
         requests = []
         for number in range(600):
             body = b"q%d" % number
-            requests.append(asyncio.create_task(world.ask("east-1a", "quote", body)))
+            requests.append(
+                asyncio.create_task(world.send_request("east-1a", "quote", body))
+            )
             await asyncio.sleep(0.02)
-        for worker in world.workers.values():
-            worker.faults.failing = False
+        for memory_host in world.memory_hosts.values():
+            memory_host.faults.failing = False
         answers = await asyncio.gather(*requests, return_exceptions=True)
         starts = [e for e in world.events if e.kind == "start"]
         assert len(answers) == 600
         # The retry budget: 10% more starts, and at least 10 retries for each shard.
         assert len(starts) <= 600 * 1.1 + 2 * 10
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_a_keyed_job_gets_the_same_name_at_every_daemon():
@@ -187,7 +193,7 @@
 
     async def main():
         world = World(small_cell(), NAMES)
-        await world.ready()
+        await world.start_and_configure()
         for key in ("spring", "summer", "autumn"):
             job_names = set()
             for daemon in world.daemons.values():
@@ -197,7 +203,7 @@
                 job_names.add(view.job)
             assert len(job_names) == 1
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_two_daemons_that_fail_together_are_replaced_within_ten_seconds():
@@ -206,7 +212,7 @@
     async def main():
         names = ["east-1a", "east-1b", "east-1c", "west-1a"]
         world = World(small_cell(), names)
-        await world.ready()
+        await world.start_and_configure()
         dead = _owner_of(world, "booking/east-1/0")
         other = next(n for n in names if n.startswith("east") and n != dead)
         await world.kill(dead)
@@ -214,10 +220,12 @@
         await asyncio.sleep(10.0)
         survivor = next(n for n in world.daemons if n.startswith("east"))
         assert _owner_of(world, "booking/east-1/0") == survivor
-        world.seconds["quote"] = 0.1
-        assert (await world.ask(survivor, "quote", b"served")).body == b"served"
+        world.run_time_s["quote"] = 0.1
+        assert (
+            await world.send_request(survivor, "quote", b"served")
+        ).body == b"served"
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_a_revision_reaches_all_daemons_and_a_restarted_one_from_peers_alone():
@@ -225,7 +233,7 @@
 
     async def main():
         world = World(small_cell(), NAMES)
-        await world.ready()
+        await world.start_and_configure()
         daemon = world.daemons["west-1a"]
         applied = await daemon.publisher.apply(world.text + "# two\n", 1)
         assert (applied.revision, applied.not_yet) == (2, [])
@@ -238,7 +246,7 @@
         assert fresh.configuration.revision == 2
         assert fresh.ready
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_jobs_learned_from_a_snapshot_are_run():
@@ -246,7 +254,7 @@
 
     async def main():
         world = World(small_cell(), ["east-1a", "east-1b"])
-        await world.ready()
+        await world.start_and_configure()
         owner_name = _owner_of(world, "booking/east-1/0")
         owner = world.daemons[owner_name]
         other = world.daemons[next(n for n in world.daemons if n != owner_name)]
@@ -265,4 +273,4 @@
         await asyncio.sleep(30.0)
         assert owner.ledger.jobs["east-1.x"].settled
 
-    run(main())
+    run_on_paused_clock(main())
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -21,8 +21,8 @@
 from siskinroad.shards import OwnedShards
 
 # Faults that do nothing beside another fault.
-ALONE = {"host_leaves", "rolling_replacement"}
-COMBINABLE = sorted(set(FAULTS) - ALONE)
+SOLO_FAULTS = {"host_leaves", "rolling_replacement"}
+COMBINABLE = sorted(set(FAULTS) - SOLO_FAULTS)
 TRIPLE_COUNT = 200
 
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from siskinroad.errors import Outcome, Reason, Refusal
 from siskinroad.forwarding import MAX_KEPT_BYTES, Forwarder, Receiver
 from siskinroad.messages import Forward, ForwardQuery, Reply
@@ -68,7 +68,7 @@
         answer = await pair.forward_request(body=b"whole")
         return answer.body, pair.runs
 
-    assert run(main()) == (b"whole", 1)
+    assert run_on_paused_clock(main()) == (b"whole", 1)
 
 
 def test_silent_peer_leaves_the_outcome_unknown():
@@ -80,7 +80,7 @@
         assert info.value.reason == Reason.PEER_LOST
         assert info.value.outcome == Outcome.UNKNOWN
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_restarted_peer_does_not_run_a_request_for_its_earlier_incarnation():
@@ -91,7 +91,7 @@
             await pair.forward_request(incarnation=6)
         assert (info.value.outcome, pair.runs) == (Outcome.UNKNOWN, 0)
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_kept_replies_stay_within_max_kept_bytes():
@@ -104,4 +104,4 @@
         assert sum(len(reply.body) for reply in kept) <= MAX_KEPT_BYTES
         assert pair.runs == 40
 
-    run(main())
+    run_on_paused_clock(main())
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from siskinroad.cluster import free_addresses
 from siskinroad.errors import NotSentError, OutcomeUnknownError
 from siskinroad.http_client import HttpPool
@@ -42,7 +42,7 @@
         with pytest.raises(NotSentError):
             await pool.request(free_addresses(1)[0], "GET", "/")
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_a_truncated_response_leaves_the_outcome_unknown():
@@ -54,7 +54,7 @@
         with pytest.raises(OutcomeUnknownError):
             await HttpPool().request(address, "GET", "/")
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_a_timeout_retires_the_older_connections_to_the_peer():
@@ -73,7 +73,7 @@
         assert (await pool.request(address, "GET", "/")).status == 200
         assert (pool.opened, pool.timeouts) == (4, 1)
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_connections_to_a_peer_are_limited():
@@ -87,4 +87,4 @@
         with pytest.raises(OutcomeUnknownError):
             await first
 
-    run(main())
+    run_on_paused_clock(main())
--- a/tests/test_httpd.py
+++ b/tests/test_httpd.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from siskinroad.httpd import (
     HttpLimits,
     HttpRequest,
@@ -55,13 +55,15 @@
 
 
 def test_pipelined_requests_are_answered_in_order():
-    data, _ = run(exchange([post(b"one") + post(b"two") + post(b"three")]))
+    data, _ = run_on_paused_clock(
+        exchange([post(b"one") + post(b"two") + post(b"three")])
+    )
     bodies = [part.partition(b"\r\n\r\n")[2][:5] for part in data.split(b"HTTP/1.1 ")]
     assert [body.rstrip(b"HT") for body in bodies[1:]] == [b"one", b"two", b"three"]
 
 
 def test_a_request_sent_byte_by_byte_is_served():
-    data, counts = run(exchange([bytes([b]) for b in post(b"slow")]))
+    data, counts = run_on_paused_clock(exchange([bytes([b]) for b in post(b"slow")]))
     assert data.endswith(b"slow")
     assert counts == []
 
@@ -79,7 +81,7 @@
 def test_invalid_input_is_refused_as_not_run_and_counted(
     chunks, limits, status, reason
 ):
-    data, counts = run(exchange(chunks, HttpLimits(**limits)))
+    data, counts = run_on_paused_clock(exchange(chunks, HttpLimits(**limits)))
     assert data.startswith(b"HTTP/1.1 " + status)
     assert b'"outcome":"not run"' in data
     assert counts[0].startswith(reason)
@@ -88,12 +90,12 @@
 def test_slow_senders_and_idle_connections_are_closed():
     """Clients that never finish a request would use up the connections."""
     partial = post(b"never whole")[:-3]
-    data, counts = run(exchange([partial], eof=False))
+    data, counts = run_on_paused_clock(exchange([partial], eof=False))
     assert data.startswith(b"HTTP/1.1 408")
     assert counts == ["slow_body"]
-    data, counts = run(exchange([b"POST /x HT"], eof=False))
+    data, counts = run_on_paused_clock(exchange([b"POST /x HT"], eof=False))
     assert counts == ["slow_headers"]
-    assert run(exchange([], eof=False)) == (b"", [])
+    assert run_on_paused_clock(exchange([], eof=False)) == (b"", [])
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
@@ -101,7 +103,7 @@
 def test_any_bytes_lead_to_a_response_or_a_close(noise, cut):
     """No input may raise another error or leave the connection open."""
     good = post(b"body")
-    data, _ = run(exchange([good[:cut], *noise, good[cut:]]))
+    data, _ = run_on_paused_clock(exchange([good[:cut], *noise, good[cut:]]))
     assert data == b"" or data.startswith(b"HTTP/1.1 ")
 
 
@@ -122,6 +124,6 @@
         writer.close()
         return data
 
-    data = run(main())
+    data = run_on_paused_clock(main())
     assert data.endswith(b"done")
     assert b"connection: close" in data
--- a/tests/test_log_reader.py
+++ b/tests/test_log_reader.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from siskinroad.log_reader import LogReader, Stream
 from siskinroad.membership import Membership
 from siskinroad.messages import LogFetch, LogRecords
@@ -54,7 +54,7 @@
         task.cancel()
         return follower
 
-    return run(main())
+    return run_on_paused_clock(main())
 
 
 def filled_log(count):
@@ -130,7 +130,7 @@
         follower.log_reader.handle_fetch(LogFetch("b", "s", 0))
         return follower
 
-    follower = run(main())
+    follower = run_on_paused_clock(main())
     assert follower.offset == 3
     pages = [(msg.start, len(msg.records)) for _, msg in follower.sent]
     assert pages == [(2, 1), (0, 0)]
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -52,7 +52,7 @@
 
 
 def test_a_dead_owner_is_replaced_within_five_seconds():
-    state = model.pickle.loads(model.steady())
+    state = model.pickle.loads(model.create_steady_state())
     shard = model.SHARDS[0]
     owner = next(
         n for n in state.nodes.values() if n.ownership.may_place(shard, state.now)
@@ -67,7 +67,7 @@
 
 
 def test_an_owner_keeps_placing_work_while_the_log_is_unavailable():
-    state = model.pickle.loads(model.steady())
+    state = model.pickle.loads(model.create_steady_state())
     state.lose_log_all()
     for _ in range(120):
         state.step()
@@ -78,7 +78,7 @@
 
 
 def test_an_isolated_owner_without_the_log_stops_placing_work():
-    state = model.pickle.loads(model.steady())
+    state = model.pickle.loads(model.create_steady_state())
     owner = next(
         n
         for n in state.nodes.values()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -29,7 +29,7 @@
     def __init__(self, folder):
         self.folder = folder
         self.text = small_cell(3, 0).replace("timeout_s = 5", "timeout_s = 2")
-        self.workers = {}
+        self.memory_hosts = {}
         self.procs = {}
         self.pool = HttpPool()
 
@@ -38,13 +38,13 @@
         platform_address = await self.platform.http.listen("127.0.0.1:0")
         for host in parse_cell(self.text).hosts():
             capacity = parse_cell(self.text).pools["booking"].capacity
-            worker = MemoryHost(
+            memory_host = MemoryHost(
                 host.name, capacity, random.Random(1), duration=lambda w, r: 0.05
             )
-            server = HostServer(worker, host)
+            server = HostServer(memory_host, host)
             address = await server.http.listen("127.0.0.1:0")
             self.text = self.text.replace(host.address, address)
-            self.workers[host.name] = worker
+            self.memory_hosts[host.name] = memory_host
         ports = free_addresses(6)
         self.addresses = {
             name: ports[3 * i : 3 * i + 3] for i, name in enumerate(NAMES)
@@ -152,8 +152,8 @@
 def count_starts(pair, body):
     return sum(
         event.body == body and event.kind == "start"
-        for worker in pair.workers.values()
-        for event in worker.events
+        for memory_host in pair.memory_hosts.values()
+        for event in memory_host.events
     )
 
 
--- a/tests/work/test_batcher.py
+++ b/tests/work/test_batcher.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from siskinroad.work.batcher import Batcher
 from siskinroad.work.store import (
     Record,
@@ -99,7 +99,7 @@
         # Once an append has been stuck for a second, callers are refused at once.
         assert max(took for _, took in found[25:50]) < 0.01
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_records_are_accepted_again_after_any_store_answer():
@@ -113,7 +113,7 @@
         store.answered_at = asyncio.get_running_loop().time()
         assert (await submit(batcher, "late"))[0] == "stored"
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_slow_store_refuses_no_record_and_is_not_flooded():
@@ -134,7 +134,7 @@
         # No append is repeated: each takes at least 0.6 s.
         assert store.appends <= 2 * (5.5 / 0.6 + 1)
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 async def answer_other_calls(store):
@@ -155,7 +155,7 @@
         assert {outcome for outcome, _ in found} == {"stored"}
         assert max(took for _, took in found) < 2.1
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_stuck_partition_refuses_queued_records_while_store_answers_other_calls():
@@ -169,4 +169,4 @@
         assert max(took for outcome, took in found if outcome == "refused") <= 2.05
         assert [outcome for outcome, _ in found].count("unknown") <= 2
 
-    run(scenario())
+    run_on_paused_clock(scenario())
--- a/tests/work/test_claim.py
+++ b/tests/work/test_claim.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from siskinroad.work.claim import PRODUCER, claim_pool, release_pool
 from siskinroad.work.records import (
     Accepted,
@@ -48,7 +48,7 @@
         assert second.former == OWNER_A and second.former_term == first.term
         assert sorted(second.accepted) == ["j1", "j2"] and second.term > first.term
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_a_claim_succeeds_while_others_append_to_a_slow_store():
@@ -56,7 +56,7 @@
         inherited = await claim_pool(SlowStore(MemoryLogs()), POOL, OWNER_A)
         assert inherited.term and "other-1" in inherited.accepted
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_the_later_of_two_concurrent_claims_fences_the_other():
@@ -74,7 +74,7 @@
                 progress_topic(POOL), [Record("k", b"w")], fence=Fence(PRODUCER, low, 1)
             )
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_a_release_applies_to_its_own_term_only():
@@ -87,7 +87,7 @@
         assert third.former == OWNER_B and third.former_term == second.term
         assert third.released_term == first.term < third.former_term
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_earlier_owners_may_have_runs_until_the_former_owner_has_reconciled_them():
@@ -103,7 +103,7 @@
         third = await claim_pool(store, POOL, OWNER_A)
         assert third.former_alone and first.former_alone
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_unreadable_records_are_skipped():
@@ -113,4 +113,4 @@
         inherited = await claim_pool(store, POOL, OWNER_A)
         assert list(inherited.accepted) == ["j1"]
 
-    run(scenario())
+    run_on_paused_clock(scenario())
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from siskinroad.peers import Reachability
 from siskinroad.work.hosts import EndKind
 from siskinroad.work.model import TaskId
@@ -22,7 +22,7 @@
             await cell.close()
         cell.check_run_numbers()
 
-    run(run_and_close())
+    run_on_paused_clock(run_and_close())
 
 
 def test_two_step_job_runs_in_order_and_completes():
--- a/tests/work/test_follow.py
+++ b/tests/work/test_follow.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from siskinroad.work.follow import Follower
 from siskinroad.work.progress import Deposed
 from siskinroad.work.store import NewestPage, Record, Tail, TrimmedError
@@ -50,7 +50,7 @@
         assert seen == ["a", "b", "c"]
         task.cancel()
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_stale_replies_neither_rewind_follower_nor_cause_busy_loop():
@@ -68,7 +68,7 @@
         assert seen[-1] == "d"
         task.cancel()
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_follower_reads_newest_of_each_key_after_trim():
@@ -86,7 +86,7 @@
         assert seen[1:] == ["a", "b"]
         task.cancel()
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_error_from_apply_ends_follower():
@@ -104,7 +104,7 @@
             await follower.run()
         assert follower.confirmed_at < 0
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_nudge_restarts_read_at_once_and_loses_no_record():
@@ -122,4 +122,4 @@
         task.cancel()
         follower.nudge()
 
-    run(scenario())
+    run_on_paused_clock(scenario())
--- a/tests/work/test_lines.py
+++ b/tests/work/test_lines.py
@@ -3,7 +3,7 @@
 import asyncio
 import random
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from siskinroad.peers import MemoryNetwork
 from siskinroad.work.advice import Advised, Advisor
 from siskinroad.work.calls import Calls
@@ -72,7 +72,7 @@
         times = await asyncio.gather(*long, *short)
         assert max(times[4:]) < 0.15
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_two_owners_choose_different_idle_channels():
@@ -87,7 +87,7 @@
         called_daemons = [n for n in NAMES if clients[n]._advisor.calls]
         assert len(called_daemons) == 2
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_reported_backlog_diverts_calls_to_another_channel():
@@ -98,7 +98,7 @@
         await time_request(clients["a"], "long", 0.6)
         assert clients["c"]._advisor.calls == 1
 
-    run(scenario())
+    run_on_paused_clock(scenario())
 
 
 def test_a_plan_assigns_no_more_calls_than_the_channels_can_start_soon():
