--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -27,7 +27,7 @@
     def add_host(self, host: Host, now: float) -> None:
         pool = self.cell.pools[host.pool]
         index = self.indexes.setdefault(host.pool, HostIndex(pool.capacity))
-        view = HostView(host.name, host.rack, pool.capacity, open=True)
+        view = HostView(host.name, host.rack, pool.capacity, is_open=True)
         index.add(view)
         self.hosts[host.name] = (index, view)
 
--- a/siskinroad/attempts.py
+++ b/siskinroad/attempts.py
@@ -157,9 +157,9 @@
         return view, effects
 
     def _stop_others(self, run: Running, end: End) -> list[Effect]:
-        if end is End.CHECKPOINTED or run.stopping or not run.hosts:
+        if end is End.CHECKPOINTED or run.is_stopping or not run.hosts:
             return []
-        run.stopping = True
+        run.is_stopping = True
         return self.control(run, Control.STOP)
 
     def control(self, run: Running, action: Control) -> list[Effect]:
@@ -235,8 +235,8 @@
         del self.shard.running[run.item.key]
         state.evictable.pop(run.item.key, None)
         state.headroom.count_end(now)
-        if run.evicting:
-            state.evicting -= 1
+        if run.is_evicting:
+            state.eviction_count -= 1
 
     def _finish(self, item: Item, end: End) -> list[Effect]:
         states = {End.DONE: "succeeded", End.STOPPED: "cancelled", End.FAILED: "lost"}
@@ -252,7 +252,7 @@
         if len(item.avoid) >= len(hosts):
             item.avoid.clear()
         lane = self.shard.waiting.push(item, front=front)
-        lane.blocked = False
+        lane.is_blocked = False
         return []
 
     def _back_off(self, item: Item, until: float) -> list[Effect]:
--- a/siskinroad/cell.py
+++ b/siskinroad/cell.py
@@ -55,18 +55,18 @@
 QUOTA = Table(
     "The most that an owner may hold at one time in a data centre.",
     {
-        "cpu": Field("number", 0.0, low=0, high=1e6, doc="Processors; 0: no limit."),
-        "memory_gib": Field("number", 0.0, low=0, high=1e7, doc="GiB; 0: no limit."),
-        "accelerators": Field("int", 0, low=0, high=100000, doc="0: no limit."),
+        "cpu": Field("number", 0.0, min=0, max=1e6, doc="Processors; 0: no limit."),
+        "memory_gib": Field("number", 0.0, min=0, max=1e7, doc="GiB; 0: no limit."),
+        "accelerators": Field("int", 0, min=0, max=100000, doc="0: no limit."),
     },
 )
 
 DEMAND = Table(
     "What one task or request takes of a host.",
     {
-        "cpu": Field("number", 1.0, low=0.001, high=1024, doc="Processors."),
-        "memory_gib": Field("number", 1.0, low=0.001, high=65536, doc="GiB."),
-        "accelerators": Field("int", 0, low=0, high=64, doc="Whole accelerators."),
+        "cpu": Field("number", 1.0, min=0.001, max=1024, doc="Processors."),
+        "memory_gib": Field("number", 1.0, min=0.001, max=65536, doc="GiB."),
+        "accelerators": Field("int", 0, min=0, max=64, doc="Whole accelerators."),
     },
 )
 
@@ -74,9 +74,9 @@
     "Who pays for a workload.",
     {
         "name": Field("name", doc="Unique name."),
-        "weight": Field("number", 1.0, low=0.001, high=1e6, doc="Share of the cell."),
+        "weight": Field("number", 1.0, min=0.001, max=1e6, doc="Share of the cell."),
         "idle_weight": Field(
-            "number", 1.0, low=0, high=1e6, doc="Part of the idle cost it carries."
+            "number", 1.0, min=0, max=1e6, doc="Part of the idle cost it carries."
         ),
         "quota": Field("table", {}, table=QUOTA, doc="Limit on what it holds."),
     },
@@ -86,7 +86,7 @@
     "A region and its data centres.",
     {
         "name": Field("name", doc="Unique name."),
-        "data_centres": Field("names", low=1, high=100, doc="Unique in the cell."),
+        "data_centres": Field("names", min=1, max=100, doc="Unique in the cell."),
     },
 )
 
@@ -104,18 +104,18 @@
     "Hosts of one kind that serve the same workloads.",
     {
         "name": Field("name", doc="Unique name."),
-        "cpu": Field("number", low=0.1, high=1024, doc="Processors of a host."),
-        "memory_gib": Field("number", low=0.1, high=65536, doc="GiB of a host."),
-        "accelerators": Field("int", 0, low=0, high=64, doc="Accelerators of a host."),
-        "slots": Field("int", 8, low=1, high=4096, doc="Concurrent tasks of a host."),
+        "cpu": Field("number", min=0.1, max=1024, doc="Processors of a host."),
+        "memory_gib": Field("number", min=0.1, max=65536, doc="GiB of a host."),
+        "accelerators": Field("int", 0, min=0, max=64, doc="Accelerators of a host."),
+        "slots": Field("int", 8, min=1, max=4096, doc="Concurrent tasks of a host."),
         "connections": Field(
-            "int", 64, low=1, high=65536, doc="Open connections to a host."
+            "int", 64, min=1, max=65536, doc="Open connections to a host."
         ),
         "shards": Field(
-            "int", 1, low=1, high=MAX_SHARDS, doc="Parts in each data centre."
+            "int", 1, min=1, max=MAX_SHARDS, doc="Parts in each data centre."
         ),
         "fencing": Field("bool", False, doc="Hosts refuse lower epochs."),
-        "hosts": Field("tables", table=HOST, low=1, high=10000, doc="The hosts."),
+        "hosts": Field("tables", table=HOST, min=1, max=10000, doc="The hosts."),
     },
 )
 
@@ -126,28 +126,28 @@
     "urgency": Field("choice", "standard", choices=URGENCY_NAMES, doc="Class."),
     "demand": Field("table", {}, table=DEMAND, doc="Of one task or request."),
     "start_within_s": Field(
-        "number", 0.0, low=0, high=1e6, doc="Refuse what cannot start in time; 0: wait."
+        "number", 0.0, min=0, max=1e6, doc="Refuse what cannot start in time; 0: wait."
     ),
     "queue_limit": Field(
-        "int", 10000, low=1, high=1000000, doc="Most waiting in one data centre."
+        "int", 10000, min=1, max=1000000, doc="Most waiting in one data centre."
     ),
-    "retries": Field("int", 2, low=0, high=20, doc="Further tries after a failure."),
+    "retries": Field("int", 2, min=0, max=20, doc="Further tries after a failure."),
 }
 
 SERVICE = Table(
     "Requests that a caller waits for.",
     {
         **_COMMON,
-        "timeout_s": Field("number", 30.0, low=0.05, high=3600, doc="Of one try."),
+        "timeout_s": Field("number", 30.0, min=0.05, max=3600, doc="Of one try."),
         "idempotent": Field("bool", False, doc="A second run does no harm."),
         "key_required": Field("bool", False, doc="Each request carries a key."),
         "locality": Field(
             "choice", "anywhere", choices=LOCALITY_NAMES, doc="How far it may go."
         ),
         "byte_cost_s": Field(
-            "number", 0.5, low=0, high=3600, doc="Waiting worth a region's crossing."
+            "number", 0.5, min=0, max=3600, doc="Waiting worth a region's crossing."
         ),
-        "max_body": Field("int", 1048576, low=0, high=16777216, doc="Bytes."),
+        "max_body": Field("int", 1048576, min=0, max=16777216, doc="Bytes."),
     },
 )
 
@@ -155,7 +155,7 @@
     "Tasks that run once accepted, each on its own.",
     {
         **_COMMON,
-        "run_time_s": Field("number", 60.0, low=0.01, high=1e7, doc="Declared."),
+        "run_time_s": Field("number", 60.0, min=0.01, max=1e7, doc="Declared."),
         "checkpoint": Field("bool", False, doc="Can be checkpointed and resumed."),
         "long_running": Field("bool", False, doc="Runs until it is cancelled."),
     },
@@ -165,8 +165,8 @@
     "Tasks of which all run together or none.",
     {
         **_COMMON,
-        "size": Field("int", low=1, high=4096, doc="Tasks in the gang."),
-        "run_time_s": Field("number", 60.0, low=0.01, high=1e7, doc="Declared."),
+        "size": Field("int", min=1, max=4096, doc="Tasks in the gang."),
+        "run_time_s": Field("number", 60.0, min=0.01, max=1e7, doc="Declared."),
         "checkpoint": Field("bool", False, doc="Can be checkpointed and resumed."),
     },
 )
@@ -175,12 +175,12 @@
     "A whole cell.",
     {
         "name": Field("name", doc="Name of the cell."),
-        "owners": Field("tables", table=OWNER, low=1, high=1000, doc="Owners."),
-        "regions": Field("tables", table=REGION, low=1, high=100, doc="Regions."),
-        "upstreams": Field("tables", table=UPSTREAM, low=1, high=100, doc="Pools."),
-        "services": Field("tables", [], table=SERVICE, low=0, high=1000, doc=""),
-        "batch": Field("tables", [], table=BATCH, low=0, high=1000, doc=""),
-        "gangs": Field("tables", [], table=GANG, low=0, high=1000, doc=""),
+        "owners": Field("tables", table=OWNER, min=1, max=1000, doc="Owners."),
+        "regions": Field("tables", table=REGION, min=1, max=100, doc="Regions."),
+        "upstreams": Field("tables", table=UPSTREAM, min=1, max=100, doc="Pools."),
+        "services": Field("tables", [], table=SERVICE, min=0, max=1000, doc=""),
+        "batch": Field("tables", [], table=BATCH, min=0, max=1000, doc=""),
+        "gangs": Field("tables", [], table=GANG, min=0, max=1000, doc=""),
     },
 )
 
@@ -302,7 +302,7 @@
         If the file is not valid; lists every problem found.
     """
     reader = Reader()
-    data = reader.table(parse_toml(text, source), CELL_TABLE, "")
+    data = reader.validate_table(parse_toml(text, source), CELL_TABLE, "")
     if reader.problems:
         raise ConfigError(source, reader.problems)
     _check_names(data, reader)
@@ -316,7 +316,7 @@
     seen: dict[str, str] = {}
     for place, name in places:
         if name in seen:
-            reader.fault(place, name, f"a value not used by {seen[name]}")
+            reader.add_problem(place, name, f"a value not used by {seen[name]}")
         seen.setdefault(name, place)
 
 
@@ -353,18 +353,18 @@
     data_centres = {name for _, name in _data_centres(data)}
     for place, name in _host_fields(data, "data_centre"):
         if name not in data_centres:
-            reader.fault(place, name, "a data centre listed under regions")
+            reader.add_problem(place, name, "a data centre listed under regions")
     for key in ("services", "batch", "gangs"):
         for i, entry in enumerate(data[key]):
             if entry["owner"] not in owners:
-                reader.fault(
+                reader.add_problem(
                     f"{key}[{i}].owner",
                     entry["owner"],
                     "the name of an owner under owners",
                 )
             if entry["upstream"] not in pools:
                 allowed = "the name of an upstream under upstreams"
-                reader.fault(f"{key}[{i}].upstream", entry["upstream"], allowed)
+                reader.add_problem(f"{key}[{i}].upstream", entry["upstream"], allowed)
 
 
 def _resources(data: dict[str, Any], slots: int) -> Resources:
--- a/siskinroad/checks.py
+++ b/siskinroad/checks.py
@@ -31,7 +31,7 @@
         ``choice``, ``names``, ``table`` and ``tables``.
     default : object
         Value of an absent key; a key without a default is required.
-    low, high : float
+    min, max : float
         Inclusive bounds of a number, or of the length of a string or array.
     choices : tuple of str
         The allowed values of a ``choice``.
@@ -43,8 +43,8 @@
 
     kind: str
     default: Any = MISSING
-    low: float = -math.inf
-    high: float = math.inf
+    min: float = -math.inf
+    max: float = math.inf
     choices: tuple[str, ...] = ()
     table: Table | None = None
     doc: str = ""
@@ -65,22 +65,22 @@
                 return "an IPv4 address and port, such as 127.0.0.1:8000"
             case "names":
                 return (
-                    f"an array of names (length {_format_bounds(self.low, self.high)})"
+                    f"an array of names (length {_format_bounds(self.min, self.max)})"
                 )
             case "tables":
                 return (
-                    f"an array of tables (length {_format_bounds(self.low, self.high)})"
+                    f"an array of tables (length {_format_bounds(self.min, self.max)})"
                 )
             case "table":
                 return "a table"
             case "bool":
                 return "true or false"
             case "str":
-                return f"a string (length {_format_bounds(self.low, self.high)})"
+                return f"a string (length {_format_bounds(self.min, self.max)})"
             case "int":
-                return f"a whole number {_format_bounds(self.low, self.high)}"
+                return f"a whole number {_format_bounds(self.min, self.max)}"
             case _:
-                return f"a number {_format_bounds(self.low, self.high)}"
+                return f"a number {_format_bounds(self.min, self.max)}"
 
 
 def _format_bounds(low: float, high: float) -> str:
@@ -105,7 +105,7 @@
 
     problems: list[Problem] = field(default_factory=list)
 
-    def fault(self, key_path: str, value: object, allowed: str) -> None:
+    def add_problem(self, key_path: str, value: object, allowed: str) -> None:
         """Record one problem.
 
         Parameters
@@ -119,15 +119,17 @@
         """
         self.problems.append(Problem(key_path, repr(value)[:80], allowed))
 
-    def table(self, data: object, table: Table, key_path: str) -> dict[str, Any]:
+    def validate_table(
+        self, data: object, table: Table, key_path: str
+    ) -> dict[str, Any]:
         """Validate one table and fill in defaults; unknown keys are problems."""
         if not isinstance(data, dict):
-            self.fault(key_path or "file", data, "a table")
+            self.add_problem(key_path or "file", data, "a table")
             return {}
         for key in data:
             if key not in table.fields:
                 allowed = "one of " + ", ".join(sorted(table.fields))
-                self.fault(_join_path(key_path, key), "unknown key", allowed)
+                self.add_problem(_join_path(key_path, key), "unknown key", allowed)
         return {
             key: self._value(data, key, spec, _join_path(key_path, key))
             for key, spec in table.fields.items()
@@ -135,26 +137,26 @@
 
     def _value(self, data: dict[str, Any], key: str, spec: Field, key_path: str) -> Any:
         if key in data:
-            return self.value(data[key], spec, key_path)
+            return self.validate_value(data[key], spec, key_path)
         if spec.required:
-            self.fault(key_path, "nothing", spec.allowed())
+            self.add_problem(key_path, "nothing", spec.allowed())
             return _placeholder_value(spec)
         if spec.kind == "table" and spec.table and spec.default is not None:
-            return self.table(spec.default, spec.table, key_path)
+            return self.validate_table(spec.default, spec.table, key_path)
         return spec.default
 
-    def value(self, value: object, spec: Field, key_path: str) -> Any:
+    def validate_value(self, value: object, spec: Field, key_path: str) -> Any:
         """Validate one value; record an invalid one and return a placeholder for it."""
         match spec.kind:
             case "table":
                 assert spec.table is not None
-                return self.table(value, spec.table, key_path)
+                return self.validate_table(value, spec.table, key_path)
             case "tables":
                 return self._tables(value, spec, key_path)
             case "names":
                 return self._names(value, spec, key_path)
         if not _VALIDATORS[spec.kind](value, spec):
-            self.fault(key_path, value, spec.allowed())
+            self.add_problem(key_path, value, spec.allowed())
             return _placeholder_value(spec)
         return value
 
@@ -162,16 +164,19 @@
         self, value: object, spec: Field, key_path: str
     ) -> list[dict[str, Any]]:
         assert spec.table is not None
-        if not isinstance(value, list) or not spec.low <= len(value) <= spec.high:
-            self.fault(key_path, value, spec.allowed())
+        if not isinstance(value, list) or not spec.min <= len(value) <= spec.max:
+            self.add_problem(key_path, value, spec.allowed())
             return []
         table = spec.table
-        return [self.table(v, table, f"{key_path}[{i}]") for i, v in enumerate(value)]
+        return [
+            self.validate_table(v, table, f"{key_path}[{i}]")
+            for i, v in enumerate(value)
+        ]
 
     def _names(self, value: object, spec: Field, key_path: str) -> list[str]:
         is_name_list = isinstance(value, list) and all(_is_name(v, spec) for v in value)
-        if not is_name_list or not spec.low <= len(value) <= spec.high:  # type: ignore[arg-type]
-            self.fault(key_path, value, spec.allowed())
+        if not is_name_list or not spec.min <= len(value) <= spec.max:  # type: ignore[arg-type]
+            self.add_problem(key_path, value, spec.allowed())
             return []
         return list(value)  # type: ignore[call-overload]
 
@@ -193,17 +198,17 @@
 
 def _is_int(value: object, spec: Field) -> bool:
     is_int = isinstance(value, int) and not isinstance(value, bool)
-    return is_int and spec.low <= value <= spec.high  # type: ignore[operator]
+    return is_int and spec.min <= value <= spec.max  # type: ignore[operator]
 
 
 def _is_number(value: object, spec: Field) -> bool:
     if isinstance(value, bool) or not isinstance(value, int | float):
         return False
-    return math.isfinite(value) and spec.low <= value <= spec.high
+    return math.isfinite(value) and spec.min <= value <= spec.max
 
 
 def _is_str(value: object, spec: Field) -> bool:
-    return isinstance(value, str) and spec.low <= len(value) <= spec.high
+    return isinstance(value, str) and spec.min <= len(value) <= spec.max
 
 
 def _is_name(value: object, spec: Field) -> bool:
@@ -252,7 +257,7 @@
         If the file is not valid; lists every problem found.
     """
     reader = Reader()
-    values = reader.table(parse_toml(text, source), table, "")
+    values = reader.validate_table(parse_toml(text, source), table, "")
     if reader.problems:
         raise ConfigError(source, reader.problems)
     return values
--- a/siskinroad/dispatch.py
+++ b/siskinroad/dispatch.py
@@ -61,7 +61,7 @@
                 return started
             effect = self._start_head(lane, now)
             if effect is None:
-                lane.blocked = True
+                lane.is_blocked = True
             else:
                 started.append(effect)
 
@@ -83,7 +83,7 @@
         does not grow with the number of hosts or of waiting items.
         """
         started: list[StartTask] = []
-        while view.open and view.slots > 0:
+        while view.is_open and view.slots > 0:
             effect = self._fill_once(view, now)
             if effect is None:
                 break
@@ -210,7 +210,7 @@
         hosts = [
             view
             for view in state.index.hosts.values()
-            if view.open and view.name not in item.avoid and view.name not in held
+            if view.is_open and view.name not in item.avoid and view.name not in held
         ]
         size = item.workload.size
         plan = plan_reservation(
@@ -287,7 +287,7 @@
         """Mark every lane as unblocked, so that it is tried again."""
         for lanes in self.shard.waiting.active.values():
             for lane in lanes.values():
-                lane.blocked = False
+                lane.is_blocked = False
 
     def unblock_some(self) -> None:
         """Unblock a few lanes, a different group on each call.
@@ -299,10 +299,10 @@
             lane
             for lanes in self.shard.waiting.active.values()
             for lane in lanes.values()
-            if lane.blocked
+            if lane.is_blocked
         ]
         for step in range(min(MAX_UNBLOCKED_LANES, len(blocked))):
-            blocked[(self._unblock_offset + step) % len(blocked)].blocked = False
+            blocked[(self._unblock_offset + step) % len(blocked)].is_blocked = False
         self._unblock_offset += MAX_UNBLOCKED_LANES
 
 
@@ -316,7 +316,7 @@
     whole = need.times(workload.size)
     if not shard.shares.within_quota(workload.owner, whole):
         return f"{workload.owner} has used up its quota"
-    open_hosts = [view for view in state.index.hosts.values() if view.open]
+    open_hosts = [view for view in state.index.hosts.values() if view.is_open]
     if not open_hosts:
         return f"no host of {workload.pool} accepts new work"
     fitting = sum(view.count_fitting(need) for view in open_hosts)
--- a/siskinroad/errors.py
+++ b/siskinroad/errors.py
@@ -86,12 +86,12 @@
 class Problem:
     """One problem in a validated file: key path, value found and values allowed."""
 
-    place: str
+    key: str
     value: str
-    allowed: str
+    expected: str
 
     def __str__(self) -> str:
-        return f"{self.place}: got {self.value}, allowed: {self.allowed}"
+        return f"{self.key}: got {self.value}, allowed: {self.expected}"
 
 
 class ConfigError(SiskinroadError):
--- a/siskinroad/host_monitor.py
+++ b/siskinroad/host_monitor.py
@@ -56,15 +56,15 @@
 
     Attributes
     ----------
-    answered : bool
+    has_answered : bool
         The host has answered an inventory request of this owner.
-    silent : bool
+    is_silent : bool
         The last inventory request failed or timed out.
     last_renewal : float
         Loop time of the last request that may have renewed its task leases.
     leases_expired : bool
         Its task leases have expired since it became silent.
-    removed : bool
+    is_removed : bool
         The host is no longer in the configuration.
     last_start_ended_at : float
         Loop time at which the last call to start a task on it ended.
@@ -78,7 +78,7 @@
         Ended attempts whose end is not stored yet.
     last_reported : list of tuple
         Attempts and states in the last inventory.
-    unchanged : bool
+    is_unchanged : bool
         The last two inventories were the same, for example because ended tasks
         cannot be acknowledged while the log is unavailable.
     leftover_requests : int
@@ -87,10 +87,10 @@
     """
 
     host: Host
-    answered: bool = False
-    silent: bool = False
+    has_answered: bool = False
+    is_silent: bool = False
     leases_expired: bool = False
-    removed: bool = False
+    is_removed: bool = False
     last_renewal: float = float("-inf")
     last_start_ended_at: float = float("-inf")
     starting: set[str] = field(default_factory=set)
@@ -99,12 +99,12 @@
     unrecorded: set[str] = field(default_factory=set)
     leftover_requests: int = -1
     last_reported: list[tuple[str, TaskState]] = field(default_factory=list)
-    unchanged: bool = False
+    is_unchanged: bool = False
 
     @property
     def is_accounted_for(self) -> bool:
         """Whether no task can run on the host without this owner's knowledge."""
-        return self.answered or self.leases_expired
+        return self.has_answered or self.leases_expired
 
     async def fetch_inventory(
         self, owner: MonitoredOwner, *, wait: float, renew: bool
@@ -137,21 +137,21 @@
             self.last_renewal = loop.time()
         self._mark_answered(owner)
         reported = [(report.attempt, report.state) for report in inventory.tasks]
-        self.unchanged, self.last_reported = reported == self.last_reported, reported
+        self.is_unchanged, self.last_reported = reported == self.last_reported, reported
         _apply_inventory(owner, self, inventory, asked_at)
         return True
 
     def _mark_silent(self, owner: MonitoredOwner, now: float, renew: bool) -> None:
         if renew:
             self.last_renewal = now
-        if not self.silent:
-            self.silent = True
+        if not self.is_silent:
+            self.is_silent = True
             owner.ports.count_event("host", "silent")
         owner.host_event(self.host.name, "silent")
 
     def _mark_answered(self, owner: MonitoredOwner) -> None:
-        self.answered = True
-        self.silent = False
+        self.has_answered = True
+        self.is_silent = False
         self.leases_expired = False
         owner.host_event(self.host.name, "inventory")
 
@@ -194,15 +194,15 @@
     """
     loop = asyncio.get_running_loop()
     pause = MIN_PAUSE
-    while not monitor.removed:
-        if monitor.silent:
+    while not monitor.is_removed:
+        if monitor.is_silent:
             await asyncio.sleep(SILENT_RETRY_INTERVAL)
             await monitor.fetch_inventory(owner, wait=0.0, renew=False)
             monitor.check_lease_expiry(owner, TASK_LEASE_S, loop.time())
             continue
         if await monitor.fetch_inventory(owner, wait=INVENTORY_WAIT, renew=True):
             doubled_pause = min(pause * 2, MAX_UNCHANGED_PAUSE)
-            pause = doubled_pause if monitor.unchanged else MIN_PAUSE
+            pause = doubled_pause if monitor.is_unchanged else MIN_PAUSE
             await asyncio.sleep(pause)
 
 
--- a/siskinroad/owner.py
+++ b/siskinroad/owner.py
@@ -57,7 +57,7 @@
         self.tasks = TaskTable(self)
         self._in_flight: set[asyncio.Task[None]] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self.closed = False
+        self.is_closed = False
         for host in hosts:
             self._add_host(host)
 
@@ -76,7 +76,7 @@
         async with asyncio.TaskGroup() as group:
             for monitor in self.monitors.values():
                 group.create_task(self._fetch_first_inventory(monitor))
-        if self.closed:
+        if self.is_closed:
             return
         for monitor in self.monitors.values():
             self.spawn(monitor_host(self, monitor))
@@ -89,7 +89,7 @@
 
     def resume(self) -> None:
         """Place work again; called once ownership of the shard is certain."""
-        if not self.closed:
+        if not self.is_closed:
             self.run(self.scheduler.resume(self.now()))
 
     def suspend(self, *, requests: bool = False) -> None:
@@ -113,7 +113,7 @@
         Queued requests are refused as not run, so that the daemons that
         received them from callers send them to the next owner.
         """
-        self.closed = True
+        self.is_closed = True
         self.scheduler.is_paused = True
         self.requests.refuse_unsent()
         for task in self._tasks - self._in_flight:
@@ -156,7 +156,7 @@
         names = {host.name for host in hosts}
         for name in [name for name in self.monitors if name not in names]:
             monitor = self.monitors.pop(name)
-            monitor.removed = True
+            monitor.is_removed = True
             self.run(self.scheduler.remove_host(name, now))
         self.run(self.scheduler.configure(cell, now))
         for host in hosts:
@@ -253,7 +253,7 @@
         used = Resources()
         total = Resources()
         for view in self.scheduler.shard.views():
-            if view.open:
+            if view.is_open:
                 used = used + view.used()
                 total = total + view.capacity
         return used, total
--- a/siskinroad/owner_context.py
+++ b/siskinroad/owner_context.py
@@ -51,7 +51,7 @@
     ----------
     shard, epoch : str, int
         The claim under which it places work; the epoch is the fencing token.
-    closed : bool
+    is_closed : bool
         Whether it has stopped scheduling.
     """
 
@@ -59,7 +59,7 @@
     epoch: int
     ports: OwnerPorts
     scheduler: Scheduler
-    closed: bool
+    is_closed: bool
 
     def now(self) -> float:
         """Return the event loop's time in seconds."""
--- a/siskinroad/placement.py
+++ b/siskinroad/placement.py
@@ -30,7 +30,7 @@
         Total resources of the host.
     cpu, memory, accelerators, slots : int
         Unallocated resources; never negative.
-    open : bool
+    is_open : bool
         Whether new work may be placed on the host.
     limit : int
         Concurrent tasks that are allowed now, at most the host's slots.
@@ -40,7 +40,7 @@
         Number of tasks on the host, by workload.
     levels : list of int
         Level in each row of the index; empty if the host is not indexed.
-    counted : bool
+    is_counted : bool
         Whether the sums of the index include the host.
     """
 
@@ -51,13 +51,13 @@
     memory: int = 0
     accelerators: int = 0
     slots: int = 0
-    open: bool = False
+    is_open: bool = False
     limit: int = 0
     state: str = "unseen"
     tasks: dict[str, Resources] = field(default_factory=dict)
     members: dict[str, int] = field(default_factory=dict)
     levels: list[int] = field(default_factory=list)
-    counted: bool = False
+    is_counted: bool = False
 
     def __post_init__(self) -> None:
         self.cpu = self.capacity.cpu_milli
@@ -133,16 +133,16 @@
         """Remove a host and return it, or None if it is not indexed."""
         host = self.hosts.pop(name, None)
         if host is not None:
-            host.open = False
+            host.is_open = False
             self.refresh(host)
         return host
 
     def refresh(self, host: HostView) -> None:
-        """Update a host's levels after ``open`` or its free capacity has changed."""
-        if host.counted != host.open:
-            host.counted = host.open
-            self._add_to_sums(host, 1 if host.open else -1)
-        levels = self._levels_of(host) if host.open and host.slots > 0 else []
+        """Update a host's levels after ``is_open`` or its free capacity has changed."""
+        if host.is_counted != host.is_open:
+            host.is_counted = host.is_open
+            self._add_to_sums(host, 1 if host.is_open else -1)
+        levels = self._levels_of(host) if host.is_open and host.slots > 0 else []
         if levels == host.levels:
             return
         for row, level in zip(self._rows, host.levels, strict=False):
@@ -213,7 +213,7 @@
         host.memory += sign * need.memory_mib
         host.accelerators += sign * need.accelerators
         host.slots += sign * need.slots
-        if host.counted:
+        if host.is_counted:
             self.free_cpu += sign * need.cpu_milli
             self.free_memory += sign * need.memory_mib
             self.free_accelerators += sign * need.accelerators
--- a/siskinroad/preemption.py
+++ b/siskinroad/preemption.py
@@ -107,18 +107,18 @@
         effects: list[Effect] = []
         for run in self._runs_on(view):
             background = run.item.workload.urgency is Urgency.BACKGROUND
-            if run.item.workload.kind == "service" or run.throttled == overloaded:
+            if run.item.workload.kind == "service" or run.is_throttled == overloaded:
                 continue
             if overloaded and not background:
                 continue
-            run.throttled = overloaded
+            run.is_throttled = overloaded
             action = Control.THROTTLE if overloaded else Control.RESUME
             effects += self.attempts.control(run, action)
         return effects
 
     def _free_memory(self, view: HostView, action: Control) -> list[Effect]:
         runs = [r for r in self._runs_on(view) if r.item.workload.kind != "service"]
-        if any(run.evicting or run.stopping for run in runs):
+        if any(run.is_evicting or run.is_stopping for run in runs):
             return []
         for run in runs:
             workload = run.item.workload
@@ -130,20 +130,20 @@
         return []
 
     def _evict(self, run: Running, action: Control) -> list[Effect]:
-        run.evicting = True
-        self.shard.pools[run.item.workload.pool].evicting += 1
+        run.is_evicting = True
+        self.shard.pools[run.item.workload.pool].eviction_count += 1
         return self.attempts.control(run, action)
 
     def preempt_for_urgent(self, state: PoolState) -> list[Effect]:
         """Checkpoint background work if urgent work waits for a host."""
         waiting = sum(lane.live for lane in self.shard.urgent_lanes(state.pool.name))
-        wanted = min(waiting, MAX_EVICTIONS) - state.evicting
+        wanted = min(waiting, MAX_EVICTIONS) - state.eviction_count
         effects: list[Effect] = []
         need = state.urgent_need
         for run in list(reversed(state.evictable.values()))[:MAX_SEARCHED_RUNS]:
             if wanted <= 0:
                 break
-            if not run.evicting and self._would_fit(run, need):
+            if not run.is_evicting and self._would_fit(run, need):
                 effects += self._evict(run, Control.CHECKPOINT)
                 wanted -= 1
         return effects
@@ -151,7 +151,7 @@
     def _would_fit(self, run: Running, need: Resources) -> bool:
         for member, host in run.hosts.items():
             view = self.shard.view(host)
-            if view is None or not view.open:
+            if view is None or not view.is_open:
                 continue
             held = view.tasks[task_name(run.item.key, member)]
             free = Resources(view.cpu, view.memory, view.accelerators, view.slots)
@@ -178,7 +178,7 @@
             for o, since in state.underserved_since.items()
             if now - since > RECLAIM_DELAY
         ]
-        if not due or state.evicting >= MAX_EVICTIONS:
+        if not due or state.eviction_count >= MAX_EVICTIONS:
             return []
         victim = self._find_most_over_share(state, set(due))
         return self._evict(victim, Control.CHECKPOINT) if victim else []
@@ -188,7 +188,7 @@
             lane.workload.owner
             for lanes in self.shard.waiting.active.values()
             for lane in lanes.values()
-            if lane.blocked and lane.workload.pool == state.pool.name
+            if lane.is_blocked and lane.workload.pool == state.pool.name
         }
         shares = self.shard.shares
         return {
@@ -203,7 +203,7 @@
         best_excess = SHARE_TOLERANCE
         for run in list(reversed(state.evictable.values()))[:MAX_SEARCHED_RUNS]:
             owner = run.item.workload.owner
-            if run.evicting or owner in due:
+            if run.is_evicting or owner in due:
                 continue
             excess = shares.share(owner) - shares.fair_share(owner, due)
             if excess > best_excess:
--- a/siskinroad/queues.py
+++ b/siskinroad/queues.py
@@ -80,7 +80,7 @@
     ----------
     live : int
         Number of items that still wait.
-    blocked : bool
+    is_blocked : bool
         Whether the head did not fit when it was last tried.
     rate : float
         Starts per second, decayed to ``rate_at``.
@@ -93,7 +93,7 @@
     workload: Workload
     items: deque[Item] = field(default_factory=deque)
     live: int = 0
-    blocked: bool = False
+    is_blocked: bool = False
     rate: float = 0.0
     rate_at: float = 0.0
     rate_since: float = 0.0
@@ -133,7 +133,7 @@
         starts have been observed for part of the averaging window only, their rate
         is scaled up to the whole window.
         """
-        if self.live < MIN_FORECAST_ITEMS or not self.blocked:
+        if self.live < MIN_FORECAST_ITEMS or not self.is_blocked:
             return 0.0
         decay = 0.5 ** ((now - self.rate_at) / RATE_HALF_LIFE)
         observed = 1.0 - 0.5 ** ((now - self.rate_since) / RATE_HALF_LIFE)
@@ -193,7 +193,7 @@
         lane.live -= 1
         if lane.live == 0:
             lane.items.clear()
-            lane.blocked = False
+            lane.is_blocked = False
             self.active[lane.workload.urgency].pop(lane.workload.name, None)
 
     def expired(self, now: float) -> Iterator[Item]:
@@ -215,7 +215,7 @@
             return
         self.active[lane.workload.urgency].pop(workload.name, None)
         lane.workload = workload
-        lane.blocked = False
+        lane.is_blocked = False
         for item in lane.items:
             item.workload = workload
         if lane.live:
@@ -226,10 +226,10 @@
         aged = [
             lane
             for lane in self.active[Urgency.BACKGROUND].values()
-            if not lane.blocked and lane.urgency(now) is Urgency.STANDARD
+            if not lane.is_blocked and lane.urgency(now) is Urgency.STANDARD
         ]
         for urgency in Urgency:
-            lanes = [x for x in self.active[urgency].values() if not x.blocked]
+            lanes = [x for x in self.active[urgency].values() if not x.is_blocked]
             if urgency is Urgency.STANDARD:
                 lanes += aged
             if lanes:
--- a/siskinroad/requests.py
+++ b/siskinroad/requests.py
@@ -69,7 +69,7 @@
         fut: asyncio.Future[UpstreamResponse] = (
             asyncio.get_running_loop().create_future()
         )
-        if owner.closed:
+        if owner.is_closed:
             fut.set_exception(_no_owner_refusal())
             return fut
         if workload.start_within > 0:
@@ -100,7 +100,7 @@
         if end is not End.DONE:
             owner.ports.count_event("retry", end.value)
         owner.run(owner.scheduler.ended(item.key, 0, end, owner.now()))
-        if owner.closed and item.state == "waiting":
+        if owner.is_closed and item.state == "waiting":
             self.answer(item.key, _no_owner_refusal())
 
     async def _send_once(self, effect: StartTask, req: _Request) -> End:
--- a/siskinroad/scheduler.py
+++ b/siskinroad/scheduler.py
@@ -91,7 +91,7 @@
         view.state = self._host_chart.next_state(before, event)
         if view.state == before:
             return []
-        view.open = view.state in ("live", "probation")
+        view.is_open = view.state in ("live", "probation")
         limit = self.shard.limits[name].whole_tasks
         view.limit = 1 if view.state == "probation" else limit
         self.shard.pool_state(name).index.refresh(view)
@@ -136,7 +136,7 @@
         """Queue an item that was accepted before, without admission checks."""
         self.shard.items[item.key] = item
         lane = self.shard.waiting.push(item)
-        effects = [] if lane.blocked else self._dispatch(now)
+        effects = [] if lane.is_blocked else self._dispatch(now)
         if item.workload.urgency is not Urgency.URGENT:
             return effects
         state = self.shard.pools.get(item.workload.pool)
@@ -198,7 +198,7 @@
             return []
         item.state = self._chart.next_state(item.state, "cancel")
         run = self.shard.running[key]
-        run.stopping = True
+        run.is_stopping = True
         return self.attempts.control(run, Control.STOP)
 
     def _refuse_waiting(
@@ -302,7 +302,7 @@
     def _use_free_capacity(self, view: HostView, now: float) -> list[Effect]:
         if self.is_paused:
             return []
-        filled = list(self.dispatcher.fill(view, now)) if view.open else []
+        filled = list(self.dispatcher.fill(view, now)) if view.is_open else []
         return filled + self._dispatch(now)
 
     def _dispatch(self, now: float) -> list[Effect]:
--- a/siskinroad/settings.py
+++ b/siskinroad/settings.py
@@ -18,7 +18,7 @@
         "address": Field("address", doc="Peer listener of the peer."),
         "data_centre": Field("name", doc="Data centre of the peer."),
         "region": Field("name", doc="Region of the peer."),
-        "public_key": Field("str", "", low=0, high=40, doc="CURVE public key, in Z85."),
+        "public_key": Field("str", "", min=0, max=40, doc="CURVE public key, in Z85."),
     },
 )
 
@@ -32,15 +32,15 @@
         "operators": Field("address", doc="Listener for operators and metrics."),
         "peer_address": Field("address", doc="Listener for peers."),
         "platform": Field("address", doc="The platform's HTTP service."),
-        "peers": Field("tables", [], table=PEER_TABLE, low=0, high=1000, doc="Peers."),
+        "peers": Field("tables", [], table=PEER_TABLE, min=0, max=1000, doc="Peers."),
         "public_key": Field(
-            "str", "", low=0, high=40, doc="CURVE public key of this daemon, in Z85."
+            "str", "", min=0, max=40, doc="CURVE public key of this daemon, in Z85."
         ),
         "secret_key": Field(
-            "str", "", low=0, high=40, doc="CURVE secret key of this daemon, in Z85."
+            "str", "", min=0, max=40, doc="CURVE secret key of this daemon, in Z85."
         ),
         "operator_token_sha256": Field(
-            "str", "", low=0, high=64, doc="SHA-256 of the operator token, in hex."
+            "str", "", min=0, max=64, doc="SHA-256 of the operator token, in hex."
         ),
         "allow_open": Field(
             "bool",
@@ -50,22 +50,22 @@
         "max_connections": Field(
             "int",
             512,
-            low=1,
-            high=65536,
+            min=1,
+            max=65536,
             doc="Largest number of open caller connections.",
         ),
         "max_waiting_bytes": Field(
             "int",
             8388608,
-            low=65536,
-            high=1 << 32,
+            min=65536,
+            max=1 << 32,
             doc="Largest total size of request bodies held for callers, in bytes.",
         ),
         "drain_s": Field(
             "number",
             30.0,
-            low=0,
-            high=3600,
+            min=0,
+            max=3600,
             doc="Longest duration of a planned stop, in seconds.",
         ),
         "log_level": Field(
@@ -125,19 +125,21 @@
         return
     if not _is_loopback(values["operators"]) and not values["operator_token_sha256"]:
         allowed = "a loopback address, or operator_token_sha256, or allow_open"
-        reader.fault("operators", values["operators"], allowed)
+        reader.add_problem("operators", values["operators"], allowed)
     if not _is_loopback(values["peer_address"]) and not values["secret_key"]:
         allowed = "a loopback address, or public_key and secret_key, or allow_open"
-        reader.fault("peer_address", values["peer_address"], allowed)
+        reader.add_problem("peer_address", values["peer_address"], allowed)
 
 
 def _check_keys(values: dict[str, Any], reader: Reader) -> None:
     keys = ("public_key", "secret_key")
     for key in keys:
         if values[key] and len(values[key]) != 40:
-            reader.fault(key, f"length {len(values[key])}", "40 characters of Z85")
+            reader.add_problem(
+                key, f"length {len(values[key])}", "40 characters of Z85"
+            )
     if bool(values["public_key"]) != bool(values["secret_key"]):
-        reader.fault(
+        reader.add_problem(
             "secret_key",
             "only one of two keys",
             "both public_key and secret_key, or neither",
@@ -145,13 +147,13 @@
     for i, peer in enumerate(values["peers"]):
         if bool(values["secret_key"]) != bool(peer["public_key"]):
             allowed = "a key for every peer if secret_key is set, otherwise none"
-            reader.fault(f"peers[{i}].public_key", peer["public_key"], allowed)
+            reader.add_problem(f"peers[{i}].public_key", peer["public_key"], allowed)
     token_hash = values["operator_token_sha256"]
     if token_hash and (
         len(token_hash) != 64 or set(token_hash) - set("0123456789abcdef")
     ):
         allowed = "64 characters of lower-case hex"
-        reader.fault("operator_token_sha256", "…", allowed)
+        reader.add_problem("operator_token_sha256", "…", allowed)
 
 
 def parse_settings(text: str, source: str = "settings") -> Settings:
@@ -163,7 +165,7 @@
         If the file is not valid; lists every problem found.
     """
     reader = Reader()
-    values = reader.table(parse_toml(text, source), SETTINGS_TABLE, "")
+    values = reader.validate_table(parse_toml(text, source), SETTINGS_TABLE, "")
     if not reader.problems:
         _check_exposed_listeners(values, reader)
         _check_keys(values, reader)
--- a/siskinroad/shard.py
+++ b/siskinroad/shard.py
@@ -50,9 +50,9 @@
     peak: dict[int, Usage] = field(default_factory=dict)
     known_members: set[int] = field(default_factory=set)
     worst_end: End = End.DONE
-    throttled: bool = False
-    evicting: bool = False
-    stopping: bool = False
+    is_throttled: bool = False
+    is_evicting: bool = False
+    is_stopping: bool = False
 
     def note_usage(self, member: int, usage: Usage) -> None:
         """Raise the peak usage of a member to at least the reported usage."""
@@ -73,7 +73,7 @@
         Largest demand of the urgent workloads, in each dimension.
     evictable : dict of str to Running
         Background attempts that can be checkpointed, by item.
-    evicting : int
+    eviction_count : int
         Evictions in progress.
     last_planned : float
         Loop time at which a reservation was last planned.
@@ -88,7 +88,7 @@
     last_planned: float = -1e9
     urgent_need: Resources = NOTHING
     evictable: dict[str, Running] = field(default_factory=dict)
-    evicting: int = 0
+    eviction_count: int = 0
     underserved_since: dict[str, float] = field(default_factory=dict)
     size_asked: dict[str, int] = field(default_factory=dict)
 
--- a/siskinroad/status.py
+++ b/siskinroad/status.py
@@ -169,7 +169,7 @@
         lane.live,
         round(now - head.enqueued, 3),
         round(lane.expected_wait(now), 3),
-        blocked_reason(state, head) if lane.blocked else "",
+        blocked_reason(state, head) if lane.is_blocked else "",
     )
 
 
--- a/siskinroad/tasks.py
+++ b/siskinroad/tasks.py
@@ -112,7 +112,7 @@
         """
         owner = self.owner
         silent = [
-            monitor for monitor in owner.monitors.values() if not monitor.answered
+            monitor for monitor in owner.monitors.values() if not monitor.has_answered
         ]
         if silent:
             wait = TASK_LEASE_S + SILENT_HOST_MARGIN
@@ -133,7 +133,7 @@
         while self.owner.now() < until and any(not w.is_accounted_for for w in silent):
             await asyncio.sleep(TICK_TIME)
         for monitor in silent:
-            monitor.answered = True
+            monitor.has_answered = True
         self.queue_missing()
 
     def cancel(self, name: str) -> None:
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -48,7 +48,7 @@
 def test_error_names_the_invalid_field(old, new, place):
     with pytest.raises(ConfigError) as caught:
         parse_platform_settings(SETTINGS.replace(old, new), "s")
-    assert place in [problem.place for problem in caught.value.problems]
+    assert place in [problem.key for problem in caught.value.problems]
 
 
 @pytest.mark.processes
--- a/tests/test_cell.py
+++ b/tests/test_cell.py
@@ -25,11 +25,11 @@
     text = text.replace("weight = 3", "weight = -1").replace("cpu = 32", "cpus = 32")
     with pytest.raises(ConfigError) as info:
         parse_cell(text, "cell.toml")
-    places = [problem.place for problem in info.value.problems]
-    assert "owners[0].weight" in places
-    assert "upstreams[0].cpus" in places
-    assert "upstreams[0].cpu" in places
-    assert "services[0].urgency" in places
+    keys = [problem.key for problem in info.value.problems]
+    assert "owners[0].weight" in keys
+    assert "upstreams[0].cpus" in keys
+    assert "upstreams[0].cpu" in keys
+    assert "services[0].urgency" in keys
     assert "cell.toml: 4 problem(s)" in str(info.value)
 
 
