--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -34,13 +34,13 @@
     def host_event(self, name: str, event: str, now: float) -> list[Effect]:
         return []
 
-    def usage(self, host: str, reports: list, now: float) -> list[Effect]:
+    def apply_usage(self, host: str, reports: list, now: float) -> list[Effect]:
         return []
 
     def tick(self, now: float) -> list[Effect]:
         return []
 
-    def started(self, key: str) -> None:
+    def record_attempt_start(self, key: str) -> None:
         return None
 
     def start_item(self, item: Item, views: list[HostView], now: float) -> StartTask:
@@ -54,7 +54,7 @@
         self.running[item.key] = (item, views)
         return StartTask(item, f"{item.key}#{item.tries}", [v.name for v in views])
 
-    def ended(
+    def record_attempt_end(
         self, key: str, member: int, end: End, now: float, *details: object
     ) -> list[Effect]:
         item, views = self.running[key]
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -430,7 +430,7 @@
         began = time.perf_counter()
         effects = policy.submit(item, now)
         middle = time.perf_counter()
-        effects += policy.ended(key, 0, End.DONE, now)
+        effects += policy.record_attempt_end(key, 0, End.DONE, now)
         times += [middle - began, time.perf_counter() - middle]
         active += [e.item.key for e in effects if isinstance(e, StartTask)]
     return times
--- a/bench/driver.py
+++ b/bench/driver.py
@@ -165,7 +165,7 @@
     def _on_lagged(self, reports: dict[str, list]) -> None:
         for host, lines in reports.items():
             if lines:
-                self._apply_effects(self.policy.usage(host, lines, self.now))
+                self._apply_effects(self.policy.apply_usage(host, lines, self.now))
 
     def _on_sample(self, every: float) -> None:
         self._push_event(self.now + every, "sample", every)
@@ -188,7 +188,9 @@
         self.result.decisions += 1
         seconds = self.now - task.began
         usage = Usage(task.cpu, task.memory)
-        self._apply_effects(self.policy.ended(*key, end, self.now, seconds, usage))
+        self._apply_effects(
+            self.policy.record_attempt_end(*key, end, self.now, seconds, usage)
+        )
 
     def _add_accelerator_time(self, task: _Task) -> None:
         began = max(task.began, self.warm)
@@ -231,7 +233,7 @@
             self._update_allocation(task, 1)
             self._check_capacity(host)
             self._push_event(task.ends_at, "end", task)
-        self.policy.started(item.key)
+        self.policy.record_attempt_start(item.key)
 
     def _check_capacity(self, host: str) -> None:
         tasks = self.tasks_by_host[host].values()
--- a/bench/model.py
+++ b/bench/model.py
@@ -100,7 +100,7 @@
         while node.ledger.next_offset <= len(self.log):
             offset = node.ledger.next_offset
             node.ledger.apply(offset, self.log[offset - 1])
-        node.ownership.log_confirmed(self.now)
+        node.ownership.confirm_by_log(self.now)
 
     def _send_heartbeats(self, node: Node) -> None:
         for other in self.nodes.values():
--- a/siskinroad/attempts.py
+++ b/siskinroad/attempts.py
@@ -115,13 +115,13 @@
         else:
             self.shard.waiting.drop(item)
 
-    def started(self, key: str) -> None:
+    def record_attempt_start(self, key: str) -> None:
         """Record that the host has confirmed the start of an item."""
         item = self.shard.items.get(key)
         if item is not None and self.chart.allows(item.state, "started"):
             item.state = self.chart.next_state(item.state, "started")
 
-    def ended(
+    def record_attempt_end(
         self,
         key: str,
         member: int,
--- a/siskinroad/dispatch.py
+++ b/siskinroad/dispatch.py
@@ -16,7 +16,7 @@
 
 # Seconds after which a reservation is planned again, so that it follows changed
 # estimates of when the running tasks end.
-RESERVATION_REFRESH_TIME = 5.0
+RESERVATION_REFRESH_INTERVAL = 5.0
 # Minimum seconds between the plans of new reservations in a pool. Planning visits all
 # tasks of many hosts, so a smaller value costs processor time.
 MIN_PLAN_INTERVAL = 1.0
@@ -247,7 +247,7 @@
     def _may_reserve(self, state: PoolState, item: Item, now: float) -> bool:
         held = state.reservations.get(item.key)
         if held is not None:
-            return now - held.planned_at >= RESERVATION_REFRESH_TIME
+            return now - held.planned_at >= RESERVATION_REFRESH_INTERVAL
         return now - state.last_planned >= MIN_PLAN_INTERVAL
 
     def _expected_end(self, task: str, now: float) -> float:
--- a/siskinroad/entry.py
+++ b/siskinroad/entry.py
@@ -122,7 +122,7 @@
             cfg.name, self.incarnation, self.ledger, self.members
         )
         self.log_reader = LogReader(
-            cfg.name, self.platform, self.members, send, self._log_confirmed, rng
+            cfg.name, self.platform, self.members, send, self._confirm_by_log, rng
         )
         self.log_reader.follow(
             Stream(
@@ -329,9 +329,9 @@
         async with asyncio.timeout(APPLY_TIMEOUT), self._applied:
             await self._applied.wait_for(predicate)
 
-    def _log_confirmed(self, stream: str, stamp: float) -> None:
+    def _confirm_by_log(self, stream: str, stamp: float) -> None:
         if stream == data_centre_stream(self.cfg.data_centre):
-            self.ownership.log_confirmed(stamp)
+            self.ownership.confirm_by_log(stamp)
 
     # Requests
 
--- a/siskinroad/estimates.py
+++ b/siskinroad/estimates.py
@@ -105,7 +105,7 @@
         stats.reserve = None
         stats.run_time_s = None
 
-    def known(self, workload: Workload) -> bool:
+    def is_known(self, workload: Workload) -> bool:
         """Return whether enough tasks have ended to estimate their size."""
         stats = self._stats.get(workload.name)
         return stats is not None and stats.memory.weight >= MIN_SAMPLES
--- a/siskinroad/host_monitor.py
+++ b/siskinroad/host_monitor.py
@@ -233,7 +233,7 @@
     _end_unlisted_tasks(owner, monitor, view, listed, asked_at)
     _reserve_leftover_requests(owner, monitor, view, inventory.requests)
     now = asyncio.get_running_loop().time()
-    owner.run(owner.scheduler.usage(monitor.host.name, usage, now))
+    owner.run(owner.scheduler.apply_usage(monitor.host.name, usage, now))
     controls, monitor.controls_to_retry = monitor.controls_to_retry, []
     owner.run(list(controls))
 
@@ -256,7 +256,7 @@
         stop = ControlTask(name.key, name.run, host, name.member, Control.STOP)
         owner.run([stop])
         return False
-    owner.scheduler.started(name.key)
+    owner.scheduler.record_attempt_start(name.key)
     usage.append((name.key, name.member, report.usage))
     return True
 
@@ -296,7 +296,7 @@
     if run is not None and run.attempt == name.run and name.member in run.hosts:
         now = asyncio.get_running_loop().time()
         end = END_BY_STATE[report.state]
-        effects = owner.scheduler.ended(
+        effects = owner.scheduler.record_attempt_end(
             name.key, name.member, end, now, report.run_time, report.usage
         )
         owner.run(effects)
@@ -325,7 +325,7 @@
             continue
         attempt = attempt_name(run.attempt, member)
         if attempt not in listed and attempt not in monitor.starting:
-            owner.run(owner.scheduler.ended(key, member, End.LOST, now))
+            owner.run(owner.scheduler.record_attempt_end(key, member, End.LOST, now))
 
 
 def _reserve_leftover_requests(
--- a/siskinroad/operators.py
+++ b/siskinroad/operators.py
@@ -11,7 +11,7 @@
 from siskinroad.httpd import HttpRequest, HttpResponse
 from siskinroad.replies import json_response
 from siskinroad.settings import hash_token
-from siskinroad.status import queue_of, report_of, status_of
+from siskinroad.status import build_report, build_status, list_queue
 
 if TYPE_CHECKING:
     from siskinroad.entry import Daemon
@@ -72,11 +72,11 @@
                 self._update_gauges()
                 return HttpResponse(200, daemon.metrics.render(), METRICS_TYPE)
             case ("GET", "/v1/status"):
-                return json_response(200, status_of(daemon))
+                return json_response(200, build_status(daemon))
             case ("GET", "/v1/queue"):
-                return json_response(200, queue_of(daemon))
+                return json_response(200, list_queue(daemon))
             case ("GET", "/v1/report"):
-                return json_response(200, report_of(daemon))
+                return json_response(200, build_report(daemon))
             case ("GET", path) if path.startswith("/v1/explain/"):
                 key = path.removeprefix("/v1/explain/")
                 return json_response(200, {"text": await self._explain(key)})
--- a/siskinroad/owner.py
+++ b/siskinroad/owner.py
@@ -15,7 +15,7 @@
 from siskinroad.owner_context import OwnerPorts
 from siskinroad.requests import RequestTable
 from siskinroad.resources import Resources
-from siskinroad.scheduler import TICK_TIME, Scheduler
+from siskinroad.scheduler import TICK_INTERVAL, Scheduler
 from siskinroad.tasks import TaskTable
 
 __all__ = ["ShardOwner"]
@@ -23,7 +23,7 @@
 # Seconds between checks for task starts in flight during a release. A longer one
 # delays the handover of the shard.
 RELEASE_POLL_INTERVAL = 0.02
-# Shortest sleep between scheduler ticks, in seconds; the longest is ``TICK_TIME``.
+# Shortest sleep between scheduler ticks, in seconds; the longest is ``TICK_INTERVAL``.
 # Without it, a timer that is already due would make the loop spin.
 MIN_TICK_INTERVAL = 0.01
 
@@ -119,7 +119,7 @@
         for task in self._tasks - self._in_flight:
             task.cancel()
 
-    async def idle(self) -> None:
+    async def wait_idle(self) -> None:
         """Wait until every request and task start in flight has completed."""
         while self._in_flight:
             await asyncio.wait(set(self._in_flight))
@@ -146,8 +146,8 @@
 
     async def _tick(self) -> None:
         while True:
-            pause = self.scheduler.next_time() - self.now()
-            await asyncio.sleep(min(max(pause, MIN_TICK_INTERVAL), TICK_TIME))
+            pause = self.scheduler.next_tick_time() - self.now()
+            await asyncio.sleep(min(max(pause, MIN_TICK_INTERVAL), TICK_INTERVAL))
             self.run(self.scheduler.tick(self.now()))
 
     def configure(self, cell: Cell, hosts: list[Host]) -> None:
--- a/siskinroad/ownership.py
+++ b/siskinroad/ownership.py
@@ -163,7 +163,7 @@
         self.terminated: set[str] = set()
         self.draining = False
         self.shard_claims: dict[str, ShardClaim] = {}
-        self.confirmed = float("-inf")
+        self.confirmed_at = float("-inf")
         self._chart = load_chart("claim")
         self._join_attempted_at = float("-inf")
         self._misplaced_since: dict[str, float] = {}
@@ -178,9 +178,9 @@
         """Set the daemons that the platform lists as terminated."""
         self.terminated = set(names)
 
-    def log_confirmed(self, stamp: float) -> None:
+    def confirm_by_log(self, stamp: float) -> None:
         """Record that a read begun at ``stamp`` reached the end of the log."""
-        self.confirmed = max(self.confirmed, stamp)
+        self.confirmed_at = max(self.confirmed_at, stamp)
 
     def finish_takeover(self, shard: str, epoch: int) -> bool:
         """Record that the hosts were queried; return whether the claim is in force."""
@@ -217,7 +217,7 @@
 
     def lease_until(self, shard: str) -> float:
         """Return the loop time at which the lease on a shard expires."""
-        return max(self.confirmed, self._peers_confirmed_at(shard)) + LEASE_TIME
+        return max(self.confirmed_at, self._peers_confirmed_at(shard)) + LEASE_TIME
 
     def may_place(self, shard: str, now: float) -> bool:
         """Return whether requests may be sent to the shard's hosts at ``now``.
@@ -436,7 +436,7 @@
             and self.members.is_stable(member.name, now)
         ]
         preferred = rendezvous(shard, [*candidates, self.name])
-        if preferred == self.name or now - self.confirmed > LEASE_TIME:
+        if preferred == self.name or now - self.confirmed_at > LEASE_TIME:
             self._misplaced_since.pop(shard, None)
             return False
         misplaced_since = self._misplaced_since.setdefault(shard, now)
--- a/siskinroad/preemption.py
+++ b/siskinroad/preemption.py
@@ -45,7 +45,7 @@
         self.attempts = attempts
         self._closed_hosts: set[str] = set()
 
-    def usage(self, host: str, reports: list[UsageReport]) -> list[Effect]:
+    def apply_usage(self, host: str, reports: list[UsageReport]) -> list[Effect]:
         """Process a host's usage report, which lags, and react in steps.
 
         Parameters
--- a/siskinroad/requests.py
+++ b/siskinroad/requests.py
@@ -99,7 +99,7 @@
         req.may_have_run |= end in (End.UNKNOWN, End.FAILED)
         if end is not End.DONE:
             owner.ports.count_event("retry", end.value)
-        owner.run(owner.scheduler.ended(item.key, 0, end, owner.now()))
+        owner.run(owner.scheduler.record_attempt_end(item.key, 0, end, owner.now()))
         if owner.is_closed and item.state == "waiting":
             self.answer(item.key, _no_owner_refusal())
 
--- a/siskinroad/scheduler.py
+++ b/siskinroad/scheduler.py
@@ -23,11 +23,11 @@
 from siskinroad.shard import Shard, milliseconds
 from siskinroad.upstreams import Control, Usage
 
-__all__ = ["TICK_TIME", "Scheduler"]
+__all__ = ["TICK_INTERVAL", "Scheduler"]
 
 # Seconds between two calls of ``tick``. It bounds how late a deadline, the end of a
 # backoff or the end of a quarantine is noticed.
-TICK_TIME = 0.25
+TICK_INTERVAL = 0.25
 
 
 class Scheduler:
@@ -105,7 +105,7 @@
         effects: list[Effect] = []
         for task in list(view.tasks) if view else []:
             key, member = split_task(task)
-            effects += self.ended(key, member, End.LOST, now)
+            effects += self.record_attempt_end(key, member, End.LOST, now)
         return effects
 
     def remove_host(self, name: str, now: float) -> list[Effect]:
@@ -219,11 +219,11 @@
         """Adopt a task that already runs on a host of the shard."""
         return self.attempts.adopt(item, name, host, now)
 
-    def started(self, key: str) -> None:
+    def record_attempt_start(self, key: str) -> None:
         """Record that the host has confirmed the start of an item."""
-        self.attempts.started(key)
+        self.attempts.record_attempt_start(key)
 
-    def ended(
+    def record_attempt_end(
         self,
         key: str,
         member: int,
@@ -233,7 +233,9 @@
         usage: Usage | None = None,
     ) -> list[Effect]:
         """Record that one member's task has ended on its host."""
-        view, effects = self.attempts.ended(key, member, end, now, run_time, usage)
+        view, effects = self.attempts.record_attempt_end(
+            key, member, end, now, run_time, usage
+        )
         effects += self._apply_pending_verdicts(now)
         if view is None:
             return effects
@@ -249,16 +251,18 @@
             effects += self.host_event(verdict.host, verdict.event, now)
         return effects
 
-    def usage(self, host: str, reports: list[UsageReport], now: float) -> list[Effect]:
+    def apply_usage(
+        self, host: str, reports: list[UsageReport], now: float
+    ) -> list[Effect]:
         """Process a host's usage report, which lags behind the actual usage."""
-        effects = self.preemption.usage(host, reports)
+        effects = self.preemption.apply_usage(host, reports)
         view = self.shard.view(host)
         return effects + (self._use_free_capacity(view, now) if view else [])
 
     # Time
 
     def tick(self, now: float) -> list[Effect]:
-        """Handle everything that falls due; call this every ``TICK_TIME`` seconds."""
+        """Handle everything that falls due; call every ``TICK_INTERVAL`` seconds."""
         effects: list[Effect] = []
         for item in self.shard.waiting.expired(now):
             refusal = Refusal(Reason.DEADLINE, step="queue", retry_after=1.0)
@@ -278,7 +282,7 @@
             effects += self.preemption.preempt_for_urgent(state)
         return effects + self.preemption.reclaim_shares(now)
 
-    def next_time(self) -> float:
+    def next_tick_time(self) -> float:
         """Return the loop time of the next deadline or end of a backoff."""
         deadline = self.shard.waiting.next_deadline()
         return min(deadline, self.attempts.next_backoff_end(), math.inf)
--- a/siskinroad/shards.py
+++ b/siskinroad/shards.py
@@ -257,7 +257,7 @@
         self._spawn(self._retire(owner))
 
     async def _retire(self, owner: ShardOwner) -> None:
-        await owner.idle()
+        await owner.wait_idle()
         self.retiring.discard(owner)
 
     # Requests
--- a/siskinroad/status.py
+++ b/siskinroad/status.py
@@ -18,10 +18,10 @@
     "QueueLine",
     "Report",
     "ReportLine",
+    "build_report",
+    "build_status",
     "explain",
-    "queue_of",
-    "report_of",
-    "status_of",
+    "list_queue",
 ]
 
 
@@ -97,7 +97,7 @@
     return asyncio.get_running_loop().time()
 
 
-def status_of(daemon: DaemonContext) -> DaemonStatus:
+def build_status(daemon: DaemonContext) -> DaemonStatus:
     """Return the status of a daemon."""
     now = _loop_time()
     stop_reasons = [
@@ -146,7 +146,7 @@
     )
 
 
-def queue_of(daemon: DaemonContext) -> list[QueueLine]:
+def list_queue(daemon: DaemonContext) -> list[QueueLine]:
     """Return the workloads that have waiting work at this daemon's shards."""
     lines = []
     for shard, owner in sorted(daemon.shards.owners.items()):
@@ -222,7 +222,7 @@
     return f"{key} has waited {waited:.1f} s: {why}."
 
 
-def report_of(daemon: DaemonContext) -> Report:
+def build_report(daemon: DaemonContext) -> Report:
     """Return used and idle capacity of the shards that this daemon owns."""
     totals: dict[str, OwnerSpan] = {}
     capacity = [0, 0, 0]
--- a/siskinroad/tasks.py
+++ b/siskinroad/tasks.py
@@ -16,7 +16,7 @@
 from siskinroad.names import AttemptName, attempt_name, job_of, task_name
 from siskinroad.queues import Item
 from siskinroad.records import JobAccepted
-from siskinroad.scheduler import TICK_TIME
+from siskinroad.scheduler import TICK_INTERVAL
 from siskinroad.upstreams import TaskStart
 
 __all__ = ["TaskTable"]
@@ -131,7 +131,7 @@
 
     async def _queue_after_wait(self, silent: list[HostMonitor], until: float) -> None:
         while self.owner.now() < until and any(not w.is_accounted_for for w in silent):
-            await asyncio.sleep(TICK_TIME)
+            await asyncio.sleep(TICK_INTERVAL)
         for monitor in silent:
             monitor.has_answered = True
         self.queue_missing()
@@ -178,7 +178,7 @@
             if not owner.ports.may_start_tasks():
                 raise NotSentError("ownership of the shard is uncertain", step="owner")
             await owner.ports.upstreams.start(monitor.host, owner.epoch, start)
-            owner.scheduler.started(key)
+            owner.scheduler.record_attempt_start(key)
         except NotSentError:
             self._not_started(key, member)
         except StaleEpochError:
@@ -193,7 +193,9 @@
     def _not_started(self, key: str, member: int) -> None:
         owner = self.owner
         owner.ports.count_event("retry", End.NOT_SENT.value)
-        owner.run(owner.scheduler.ended(key, member, End.NOT_SENT, owner.now()))
+        owner.run(
+            owner.scheduler.record_attempt_end(key, member, End.NOT_SENT, owner.now())
+        )
 
     def record_finished(self, key: str, end: End) -> None:
         """Store the end of a task or gang."""
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -107,7 +107,9 @@
         key = next(iter(scheduler.shard.running))
         effects = [
             effect
-            for effect in start_effects(scheduler.ended(key, 0, End.DONE, now))
+            for effect in start_effects(
+                scheduler.record_attempt_end(key, 0, End.DONE, now)
+            )
             + start_effects(scheduler.tick(now))
             if effect.item.key == "g/0"
         ]
@@ -127,7 +129,7 @@
         for key in keys:
             usage = Usage(2000, 8192)
             started += start_effects(
-                scheduler.ended(key, 0, End.DONE, now, 60.0, usage)
+                scheduler.record_attempt_end(key, 0, End.DONE, now, 60.0, usage)
             )
         started += start_effects(scheduler.tick(now))
     assert now < 600
@@ -150,7 +152,7 @@
     assert len(effects) == 10_000
     assert all(isinstance(effect, Refused) for effect in effects)
     for key in list(scheduler.shard.running):
-        assert start_effects(scheduler.ended(key, 0, End.DONE, 2.0)) == []
+        assert start_effects(scheduler.record_attempt_end(key, 0, End.DONE, 2.0)) == []
     assert not scheduler.shard.items
 
 
@@ -160,7 +162,7 @@
     effects = scheduler.submit(item(scheduler, "quote", "q/0", 1.0), 1.0)
     controls = [e for e in effects if isinstance(e, ControlTask)]
     assert [e.action for e in controls] == [Control.CHECKPOINT]
-    effects = scheduler.ended(controls[0].key, 0, End.CHECKPOINTED, 1.2)
+    effects = scheduler.record_attempt_end(controls[0].key, 0, End.CHECKPOINTED, 1.2)
     assert [e.item.key for e in start_effects(effects)] == ["q/0"]
     assert scheduler.shard.items[controls[0].key].state == "waiting"
 
@@ -177,13 +179,13 @@
 def test_request_with_unknown_outcome_is_retried_only_if_idempotent():
     scheduler = make_scheduler()
     scheduler.submit(item(scheduler, "quote", "q/0"), 0.0)
-    assert scheduler.ended("q/0", 0, End.UNKNOWN, 0.1) == []
+    assert scheduler.record_attempt_end("q/0", 0, End.UNKNOWN, 0.1) == []
     assert scheduler.shard.items["q/0"].backoff_until > 0.1
     scheduler.submit(item(scheduler, "charge", "c/0"), 0.0)
-    [effect] = scheduler.ended("c/0", 0, End.UNKNOWN, 0.1)
+    [effect] = scheduler.record_attempt_end("c/0", 0, End.UNKNOWN, 0.1)
     assert effect.refusal.outcome == "outcome unknown"
     scheduler.submit(item(scheduler, "charge", "c/1"), 0.0)
-    assert scheduler.ended("c/1", 0, End.NOT_SENT, 0.1) == []
+    assert scheduler.record_attempt_end("c/1", 0, End.NOT_SENT, 0.1) == []
 
 
 def test_retries_stay_within_the_budget():
@@ -192,7 +194,7 @@
     for i in range(200):
         for effect in scheduler.submit(item(scheduler, "quote", f"q/{i}"), 0.0):
             assert isinstance(effect, StartTask)
-        repeated += not scheduler.ended(f"q/{i}", 0, End.UNKNOWN, 0.0)
+        repeated += not scheduler.record_attempt_end(f"q/{i}", 0, End.UNKNOWN, 0.0)
     assert repeated <= 10 + 200 * 0.1
 
 
@@ -207,7 +209,7 @@
         scheduler.submit(item(scheduler, name, f"{name}/{i}", now), now)
         for key, run in list(scheduler.shard.running.items()):
             bad = run.hosts[0] == "h0" or key.startswith("paper")
-            scheduler.ended(key, 0, End.FAILED if bad else End.DONE, now)
+            scheduler.record_attempt_end(key, 0, End.FAILED if bad else End.DONE, now)
     states = {view.name: view.state for view in scheduler.shard.views()}
     assert states["h0"] == "ejected"
     assert {states[f"h{i}"] for i in (1, 2, 3)} == {"live"}
@@ -218,7 +220,7 @@
     submit(scheduler, "plain", 16)
     scheduler.host_event("h0", "leave", 1.0)
     key = next(k for k, r in scheduler.shard.running.items() if r.hosts[0] == "h0")
-    scheduler.ended(key, 0, End.DONE, 1.0)
+    scheduler.record_attempt_end(key, 0, End.DONE, 1.0)
     effects = start_effects(
         scheduler.submit(item(scheduler, "plain", "late/0", 1.0), 1.0)
     )
@@ -235,7 +237,7 @@
 
     def report(gib):
         reports = [(key, 0, Usage(2000, gib * 1024)) for key in keys]
-        effects = scheduler.usage("h0", reports, 1.0)
+        effects = scheduler.apply_usage("h0", reports, 1.0)
         return [e.action for e in effects if isinstance(e, ControlTask)]
 
     assert report(100) == []
@@ -247,10 +249,10 @@
 def test_gang_with_a_failed_member_is_stopped_and_retried():
     scheduler = make_scheduler()
     [effect] = start_effects(scheduler.submit(item(scheduler, "render", "g/0"), 0.0))
-    stops = scheduler.ended("g/0", 3, End.FAILED, 1.0)
+    stops = scheduler.record_attempt_end("g/0", 3, End.FAILED, 1.0)
     assert len([e for e in stops if isinstance(e, ControlTask)]) == 11
     for member in range(12):
-        scheduler.ended("g/0", member, End.STOPPED, 1.1)
+        scheduler.record_attempt_end("g/0", member, End.STOPPED, 1.1)
     assert scheduler.shard.items["g/0"].state == "waiting"
     assert start_effects(scheduler.tick(10.0))[0].item.key == "g/0"
     assert effect.attempt == "g/0#1"
@@ -265,7 +267,7 @@
     scheduler.configure(parse_cell(text), 0.0)
     assert len(start_effects(submit(scheduler, "plain", 20))) == 5
     key = next(iter(scheduler.shard.running))
-    effects = scheduler.ended(key, 0, End.DONE, 1.0)
+    effects = scheduler.record_attempt_end(key, 0, End.DONE, 1.0)
     assert len(start_effects(effects)) == 1
     assert any(isinstance(effect, Finished) for effect in effects)
 
@@ -289,7 +291,7 @@
         now = step * 0.05
         if step % 10 == 0:
             key = next(iter(scheduler.shard.running))
-            scheduler.ended(key, 0, End.DONE, now)
+            scheduler.record_attempt_end(key, 0, End.DONE, now)
         for _ in range(4):
             number += 1
             effects = scheduler.submit(
@@ -318,6 +320,6 @@
     scheduler.shard.waiting.take(scheduler.shard.waiting.lane(head.workload))
     scheduler.shard.waiting.push(head)
     for key in list(scheduler.shard.running):
-        scheduler.ended(key, 0, End.DONE, 4.0, 4.0, Usage(2000, 8192))
+        scheduler.record_attempt_end(key, 0, End.DONE, 4.0, 4.0, Usage(2000, 8192))
     scheduler.tick(5.0)
     assert len(scheduler.shard.running) == 3
