--- a/siskinroad/idempotency.py
+++ b/siskinroad/idempotency.py
@@ -74,73 +74,71 @@
             available, or if ``send`` refuses. The outcome is "not run" only if no
             earlier request with the key can have run either.
         """
-        full_key = f"{service}/{key}"
+        name = f"{service}/{key}"
         request_digest = hashlib.blake2b(body, digest_size=12).hexdigest()
-        known = self.ledger.keys.get(full_key)
-        if full_key in self._active_keys:
+        known = self.ledger.keys.get(name)
+        if name in self._active_keys:
             raise _in_progress_refusal()
         if known is not None and not _did_not_run(known):
             return _replay_answer(
-                await self._wait_for_outcome(full_key, known), request_digest
+                await self._wait_for_outcome(name, known), request_digest
             )
         if not self.ledger.is_complete:
             raise _log_unavailable_refusal(Outcome.UNKNOWN)
-        self._active_keys.add(full_key)
+        self._active_keys.add(name)
         try:
-            await self._record_intent(full_key, service, request_digest)
-            return await self._send(full_key, send)
+            await self._record_intent(name, service, request_digest)
+            return await self._send(name, send)
         finally:
-            self._active_keys.discard(full_key)
+            self._active_keys.discard(name)
 
-    async def _wait_for_outcome(self, full_key: str, known: KeyState) -> KeyState:
+    async def _wait_for_outcome(self, name: str, known: KeyState) -> KeyState:
         """Wait up to ``OUTCOME_TIMEOUT`` for a key's outcome to arrive in the log."""
         loop = asyncio.get_running_loop()
         deadline = loop.time() + OUTCOME_TIMEOUT
         while known.outcome is None and loop.time() < deadline:
             await asyncio.sleep(OUTCOME_POLL_INTERVAL)
-            known = self.ledger.keys.get(full_key, known)
+            known = self.ledger.keys.get(name, known)
         return known
 
     async def _record_intent(
-        self, full_key: str, service: str, request_digest: str
+        self, name: str, service: str, request_digest: str
     ) -> None:
-        intent = IntentRecorded(full_key, service, request_digest, self.name)
+        intent = IntentRecorded(name, service, request_digest, self.name)
         try:
             offset = await self.append(intent, INTENT_TIMEOUT)
             await self.wait_applied(offset)
         except (PlatformError, TimeoutError):
-            self._record_outcome(full_key, NOT_RUN, None)
+            self._record_outcome(name, NOT_RUN, None)
             raise _log_unavailable_refusal(Outcome.NOT_RUN) from None
-        state = self.ledger.keys.get(full_key)
+        state = self.ledger.keys.get(name)
         if state is None or state.intent.daemon != self.name or state.outcome:
             raise _in_progress_refusal()
         if state.intent.body_digest != request_digest:
             raise Refusal(Reason.KEY_REUSED, step="keys")
 
     async def _send(
-        self, full_key: str, send: Callable[[], Awaitable[UpstreamResponse]]
+        self, name: str, send: Callable[[], Awaitable[UpstreamResponse]]
     ) -> UpstreamResponse:
         try:
             answer = await send()
         except Refusal as exc:
             not_run = exc.outcome is Outcome.NOT_RUN
-            self._record_outcome(full_key, NOT_RUN if not_run else UNKNOWN, None)
+            self._record_outcome(name, NOT_RUN if not_run else UNKNOWN, None)
             raise
         except BaseException:
-            self._record_outcome(full_key, UNKNOWN, None)
+            self._record_outcome(name, UNKNOWN, None)
             raise
-        self._record_outcome(full_key, DONE, answer)
+        self._record_outcome(name, DONE, answer)
         return answer
 
     def _record_outcome(
-        self, full_key: str, outcome: str, answer: UpstreamResponse | None
+        self, name: str, outcome: str, answer: UpstreamResponse | None
     ) -> None:
         status = answer.status if answer is not None else 0
         is_small = answer is not None and len(answer.body) <= MAX_STORED_BODY
         body = answer.body if answer is not None and is_small else None
-        self.append(
-            KeyOutcome(full_key, outcome, status, body, self.name), float("inf")
-        )
+        self.append(KeyOutcome(name, outcome, status, body, self.name), float("inf"))
 
 
 def _did_not_run(state: KeyState) -> bool:
