--- a/bench/world.py
+++ b/bench/world.py
@@ -1,4 +1,4 @@
-"""Several daemons in one process, with in-memory stand-ins around them."""
+"""Several daemons in one process with an in-memory platform, network and hosts."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 from siskinroad.cell import Cell, parse_cell
 from siskinroad.entry import Daemon
-from siskinroad.front import Request
 from siskinroad.peers import MemoryNetwork
 from siskinroad.platform import CELL_STREAM
-from siskinroad.platform_memory import MemoryLog, MemoryPlatform
+from siskinroad.platform_memory import MemoryPlatform, MemoryPlatformState
+from siskinroad.request_handler import Request
 from siskinroad.settings import Peer, Settings
-from siskinroad.upstreams import Answer
-from siskinroad.upstreams_memory import MemoryUpstreams, MemoryWorker
+from siskinroad.upstreams import UpstreamResponse
+from siskinroad.upstreams_memory import MemoryHost, MemoryUpstreamClient
 
 CELL = """
 name = "test"
@@ -72,7 +72,7 @@
 
 
 def pool(name: str, hosts: list[tuple[str, str, str]], **keys: object) -> str:
-    """Return an upstream's table; hosts are (name, rack, data centre)."""
+    """Return the TOML table of an upstream; hosts are (name, rack, data centre)."""
     values = {"cpu": 32, "memory_gib": 128, "fencing": False, **keys}
     lines = ["[[upstreams]]", f'name = "{name}"']
     lines += [f"{k} = {str(v).lower()}" for k, v in values.items()]
@@ -84,6 +84,7 @@
 
 
 def small_cell(east: int = 3, west: int = 2, **keys: object) -> str:
+    """Return the text of a cell with hosts in ``east-1`` and ``west-1``."""
     hosts = [(f"e{i}", f"r{i // 2}", "east-1") for i in range(east)]
     hosts += [(f"w{i}", f"r{i // 2}", "west-1") for i in range(west)]
     return CELL + pool("booking", hosts, **keys) + SERVICES
@@ -91,9 +92,11 @@
 
 @dataclass
 class World:
-    """The daemons and everything outside them.
+    """Daemons with the platform, the network and the hosts around them.
 
-    Daemons are named by data centre: ``east-1a``, ``east-1b``, ``west-1a``.
+    The name of a daemon is its data centre and one letter, such as ``east-1a``.
+    ``run_time_s`` is the mean run time by workload; ``blocked_calls`` holds the pairs
+    of daemon and host that cannot reach each other.
     """
 
     text: str
@@ -104,11 +107,11 @@
     def __post_init__(self) -> None:
         self.rng = random.Random(self.seed)
         self.cell: Cell = parse_cell(self.text)
-        self.log = MemoryLog()
+        self.log = MemoryPlatformState()
         self.network = MemoryNetwork(random.Random(self.seed + 1))
         sequence = itertools.count()
-        self.workers = {
-            host.name: MemoryWorker(
+        self.memory_hosts = {
+            host.name: MemoryHost(
                 host.name,
                 self.cell.pools[host.pool].capacity,
                 random.Random(f"{self.seed}{host.name}"),
@@ -119,18 +122,18 @@
             )
             for host in self.cell.hosts()
         }
-        self.cut: set[tuple[str, str]] = set()
+        self.blocked_calls: set[tuple[str, str]] = set()
         self.daemons: dict[str, Daemon] = {}
         self.incarnation = 0
-        self.seconds = {"quote": 0.1, "dispatch": 0.1, "recount": 3.0, "render": 5.0}
+        self.run_time_s = {"quote": 0.1, "dispatch": 0.1, "recount": 3.0, "render": 5.0}
 
     def duration(self, workload: str, rng: random.Random) -> float:
-        return self.seconds.get(workload, 1.0) * rng.uniform(0.8, 1.2)
+        return self.run_time_s.get(workload, 1.0) * rng.uniform(0.8, 1.2)
 
     def demand(self, workload: str):
         return self.cell.workloads[workload].demand
 
-    def cfg(self, name: str) -> Settings:
+    def create_settings(self, name: str) -> Settings:
         peers = tuple(
             Peer(x, "127.0.0.1:1", x[:-1], x.partition("-")[0])
             for x in self.names
@@ -140,13 +143,13 @@
         return Settings(name, name[:-1], region, peers=peers, **self.settings)
 
     def start(self, name: str) -> Daemon:
-        """Start a daemon, or start it again under the same address."""
+        """Start a daemon, or restart it under the same name as a new incarnation."""
         self.incarnation += 1
         daemon = Daemon(
-            self.cfg(name),
+            self.create_settings(name),
             self.incarnation,
             MemoryPlatform(self.log, name),
-            MemoryUpstreams(self.workers, name, self.cut),
+            MemoryUpstreamClient(self.memory_hosts, name, self.blocked_calls),
             self.network.join(name),
             random.Random(f"{self.seed}{name}{self.incarnation}"),
         )
@@ -155,7 +158,7 @@
         return daemon
 
     async def kill(self, name: str) -> None:
-        """Stop a daemon as a crash would."""
+        """Stop a daemon without draining it, as a crash would."""
         await self.daemons.pop(name).close()
 
     async def start_all(self) -> None:
@@ -163,14 +166,15 @@
             self.start(name)
 
     async def publish(self, text: str | None = None) -> None:
-        """Put the first revision in force through a daemon."""
+        """Apply a configuration, by default the cell's text, through one daemon."""
         daemon = next(iter(self.daemons.values()))
         await daemon.publisher.apply(text or self.text, None)
 
     async def settle(self, seconds: float = 6.0) -> None:
         await asyncio.sleep(seconds)
 
-    async def ready(self) -> None:
+    async def start_and_configure(self) -> None:
+        """Start all daemons, apply the cell and give shards 6 s to get owners."""
         await self.start_all()
         await asyncio.sleep(1.0)
         await self.publish()
@@ -184,20 +188,25 @@
                 found.setdefault(shard, []).append(name)
         return found
 
-    async def ask(
+    async def send_request(
         self, name: str, service: str, body: bytes = b"x", key: str = "", limit=20.0
-    ) -> Answer:
+    ) -> UpstreamResponse:
+        """Send a request to a daemon; ``limit`` is its time limit in seconds."""
         daemon = self.daemons[name]
         cell = daemon.cell()
         now = asyncio.get_running_loop().time()
         workload = cell.workloads[service]
         req = Request(workload, f"/{service}", body, key, now + limit)
-        return await daemon.front.serve(req, cell)
+        return await daemon.request_handler.serve(req, cell)
 
     @property
     def events(self):
         return sorted(
-            (event for worker in self.workers.values() for event in worker.events),
+            (
+                event
+                for memory_host in self.memory_hosts.values()
+                for event in memory_host.events
+            ),
             key=lambda event: event.number,
         )
 
--- a/siskinroad/__main__.py
+++ b/siskinroad/__main__.py
@@ -1,16 +1,19 @@
-"""Where the program starts, by ``siskinroad`` or ``python -m siskinroad``."""
+"""Program entry point, for ``siskinroad`` and ``python -m siskinroad``."""
 
 import sys
 
-from siskinroad.slim import slim_imports
+from siskinroad.import_stubs import stub_unused_imports
 
 __all__ = ["main"]
 
 
 def main() -> int:
-    """Run the command line; a daemon keeps its memory small from the start."""
+    """Run the command line and return its exit code.
+
+    A daemon first imports its libraries without unused modules, which saves memory.
+    """
     if sys.argv[1:2] == ["entry"]:
-        slim_imports()
+        stub_unused_imports()
     from siskinroad.cli import main as run
 
     return run()
--- a/siskinroad/attempts.py
+++ b/siskinroad/attempts.py
@@ -50,7 +50,7 @@
     ) -> StartTask:
         """Allocate a host to each member and return the effect that starts them."""
         item.tries += 1
-        item.state = self.chart.next(item.state, "start")
+        item.state = self.chart.next_state(item.state, "start")
         item.started = now
         attempt = run_name(item.key, item.tries)
         expected_end = now + self.shard.estimates.run_time(item.workload)
@@ -75,7 +75,7 @@
         run.hosts[member] = view.name
         run.known_members.add(member)
         index = self.shard.pools[workload.pool].index
-        index.take(view, task_name(run.item.key, member), held, workload.name)
+        index.allocate(view, task_name(run.item.key, member), held, workload.name)
         self.shard.charge(workload, run.held, 1, now)
 
     def adopt(self, item: Item, name: AttemptName, host: str, now: float) -> bool:
@@ -107,7 +107,7 @@
 
     def withdraw(self, item: Item) -> None:
         """Remove a waiting item whose task was found running."""
-        is_backing_off = item.hold_until > 0
+        is_backing_off = item.backoff_until > 0
         item.state = "cancelled"
         del self.shard.items[item.key]
         if is_backing_off:
@@ -115,13 +115,13 @@
         else:
             self.shard.waiting.drop(item)
 
-    def started(self, key: str) -> None:
+    def record_attempt_start(self, key: str) -> None:
         """Record that the host has confirmed the start of an item."""
         item = self.shard.items.get(key)
         if item is not None and self.chart.allows(item.state, "started"):
-            item.state = self.chart.next(item.state, "started")
+            item.state = self.chart.next_state(item.state, "started")
 
-    def ended(
+    def record_attempt_end(
         self,
         key: str,
         member: int,
@@ -157,15 +157,15 @@
         return view, effects
 
     def _stop_others(self, run: Running, end: End) -> list[Effect]:
-        if end is End.CHECKPOINTED or run.stopping or not run.hosts:
+        if end is End.CHECKPOINTED or run.is_stopping or not run.hosts:
             return []
-        run.stopping = True
+        run.is_stopping = True
         return self.control(run, Control.STOP)
 
-    def control(self, run: Running, do: Control) -> list[Effect]:
+    def control(self, run: Running, action: Control) -> list[Effect]:
         """Return the effects that apply a control to each member."""
         return [
-            ControlTask(run.item.key, run.attempt, host, member, do)
+            ControlTask(run.item.key, run.attempt, host, member, action)
             for member, host in run.hosts.items()
         ]
 
@@ -174,7 +174,7 @@
         assert view is not None
         workload = run.item.workload
         index = self.shard.pools[self.shard.pool_of[view.name]].index
-        index.give_back(view, task_name(run.item.key, member), workload.name)
+        index.release(view, task_name(run.item.key, member), workload.name)
         self.shard.charge(workload, run.held, -1, now)
         return view
 
@@ -208,10 +208,10 @@
     def _adjust_limit(self, view: HostView, end: End, now: float) -> None:
         limit = self.shard.limits[view.name]
         if end is End.DONE:
-            limit.success()
+            limit.record_success()
         elif end in (End.UNKNOWN, End.REJECTED, End.NOT_SENT):
-            limit.failure(now)
-        view.limit = 1 if view.state == "probation" else limit.whole
+            limit.record_failure(now)
+        view.limit = 1 if view.state == "probation" else limit.whole_tasks
 
     def _conclude(self, run: Running, now: float) -> list[Effect]:
         item = run.item
@@ -235,8 +235,8 @@
         del self.shard.running[run.item.key]
         state.evictable.pop(run.item.key, None)
         state.headroom.count_end(now)
-        if run.evicting:
-            state.evicting -= 1
+        if run.is_evicting:
+            state.eviction_count -= 1
 
     def _finish(self, item: Item, end: End) -> list[Effect]:
         states = {End.DONE: "succeeded", End.STOPPED: "cancelled", End.FAILED: "lost"}
@@ -247,17 +247,17 @@
     def requeue(self, item: Item, *, front: bool) -> list[Effect]:
         """Queue an item again without a backoff."""
         item.state = "waiting"
-        item.hold_until = 0.0
+        item.backoff_until = 0.0
         hosts = self.shard.pools[item.workload.pool].index.hosts
         if len(item.avoid) >= len(hosts):
             item.avoid.clear()
         lane = self.shard.waiting.push(item, front=front)
-        lane.blocked = False
+        lane.is_blocked = False
         return []
 
     def _back_off(self, item: Item, until: float) -> list[Effect]:
         item.state = "waiting"
-        item.hold_until = until
+        item.backoff_until = until
         self.backing_off.append(item)
         return []
 
@@ -286,17 +286,21 @@
 
     def release_backed_off(self, now: float) -> None:
         """Queue the items whose backoff after a failure is over."""
-        due = [item for item in self.backing_off if item.hold_until <= now]
+        due = [item for item in self.backing_off if item.backoff_until <= now]
         if not due:
             return
-        self.backing_off = [item for item in self.backing_off if item.hold_until > now]
+        self.backing_off = [
+            item for item in self.backing_off if item.backoff_until > now
+        ]
         for item in due:
             front = item.workload.kind == "service"
             self.requeue(item, front=front)
 
     def next_backoff_end(self) -> float:
         """Return the earliest end of a backoff; infinite if there is none."""
-        return min((item.hold_until for item in self.backing_off), default=float("inf"))
+        return min(
+            (item.backoff_until for item in self.backing_off), default=float("inf")
+        )
 
     def drop_backing_off(self, item: Item) -> None:
         """Remove an item that was cancelled during its backoff."""
--- a/siskinroad/dispatch.py
+++ b/siskinroad/dispatch.py
@@ -16,7 +16,7 @@
 
 # Seconds after which a reservation is planned again, so that it follows changed
 # estimates of when the running tasks end.
-RESERVATION_REFRESH_TIME = 5.0
+RESERVATION_REFRESH_INTERVAL = 5.0
 # Minimum seconds between the plans of new reservations in a pool. Planning visits all
 # tasks of many hosts, so a smaller value costs processor time.
 MIN_PLAN_INTERVAL = 1.0
@@ -61,7 +61,7 @@
                 return started
             effect = self._start_head(lane, now)
             if effect is None:
-                lane.blocked = True
+                lane.is_blocked = True
             else:
                 started.append(effect)
 
@@ -83,7 +83,7 @@
         does not grow with the number of hosts or of waiting items.
         """
         started: list[StartTask] = []
-        while view.open and view.slots > 0:
+        while view.is_open and view.slots > 0:
             effect = self._fill_once(view, now)
             if effect is None:
                 break
@@ -172,16 +172,16 @@
             is_excluded = only_host.name in reserved or only_host.name in item.avoid
             return None if is_excluded else [only_host]
         if workload.size > 1:
-            parts = state.index.whole(need, workload.size, item.avoid, reserved)
+            parts = state.index.place_gang(need, workload.size, item.avoid, reserved)
             if parts is None:
                 return None
             return [view for view, count in parts for _ in range(count)]
         if (
             workload.kind == "service" and not workload.demand.accelerators
         ) or workload.long_running:
-            view = state.index.widest(need, item.avoid, reserved, workload.name)
+            view = state.index.least_loaded(need, item.avoid, reserved, workload.name)
         else:
-            view = state.index.tightest(need, item.avoid, reserved)
+            view = state.index.best_fit(need, item.avoid, reserved)
         return None if view is None else [view]
 
     def _reserved_for_others(
@@ -210,7 +210,7 @@
         hosts = [
             view
             for view in state.index.hosts.values()
-            if view.open and view.name not in item.avoid and view.name not in held
+            if view.is_open and view.name not in item.avoid and view.name not in held
         ]
         size = item.workload.size
         plan = plan_reservation(
@@ -247,7 +247,7 @@
     def _may_reserve(self, state: PoolState, item: Item, now: float) -> bool:
         held = state.reservations.get(item.key)
         if held is not None:
-            return now - held.planned_at >= RESERVATION_REFRESH_TIME
+            return now - held.planned_at >= RESERVATION_REFRESH_INTERVAL
         return now - state.last_planned >= MIN_PLAN_INTERVAL
 
     def _expected_end(self, task: str, now: float) -> float:
@@ -272,20 +272,22 @@
         held = state.reservations.get(head.key) if head is not None else None
         if held is not None and view.name in held.hosts:
             return self._reservation_fits(state, held, need, workload.size)
-        return view.count(need) >= workload.size
+        return view.count_fitting(need) >= workload.size
 
     def _reservation_fits(
         self, state: PoolState, held: Reservation, need: Resources, size: int
     ) -> bool:
         hosts = state.index.hosts
-        fitting = sum(hosts[name].count(need) for name in held.hosts if name in hosts)
+        fitting = sum(
+            hosts[name].count_fitting(need) for name in held.hosts if name in hosts
+        )
         return fitting >= size
 
     def unblock_all(self) -> None:
         """Mark every lane as unblocked, so that it is tried again."""
         for lanes in self.shard.waiting.active.values():
             for lane in lanes.values():
-                lane.blocked = False
+                lane.is_blocked = False
 
     def unblock_some(self) -> None:
         """Unblock a few lanes, a different group on each call.
@@ -297,10 +299,10 @@
             lane
             for lanes in self.shard.waiting.active.values()
             for lane in lanes.values()
-            if lane.blocked
+            if lane.is_blocked
         ]
         for step in range(min(MAX_UNBLOCKED_LANES, len(blocked))):
-            blocked[(self._unblock_offset + step) % len(blocked)].blocked = False
+            blocked[(self._unblock_offset + step) % len(blocked)].is_blocked = False
         self._unblock_offset += MAX_UNBLOCKED_LANES
 
 
@@ -314,10 +316,10 @@
     whole = need.times(workload.size)
     if not shard.shares.within_quota(workload.owner, whole):
         return f"{workload.owner} has used up its quota"
-    open_hosts = [view for view in state.index.hosts.values() if view.open]
+    open_hosts = [view for view in state.index.hosts.values() if view.is_open]
     if not open_hosts:
         return f"no host of {workload.pool} accepts new work"
-    fitting = sum(view.count(need) for view in open_hosts)
+    fitting = sum(view.count_fitting(need) for view in open_hosts)
     if fitting < workload.size:
         return f"room for {fitting} of {workload.size} on {len(open_hosts)} hosts"
     others = [key for key in state.reservations if key != item.key]
--- a/siskinroad/entry.py
+++ b/siskinroad/entry.py
@@ -1,4 +1,4 @@
-"""The daemon on an entry host: every part wired together."""
+"""The daemon of an entry host, assembled from its components."""
 
 from __future__ import annotations
 
@@ -9,29 +9,28 @@
 from typing import Any
 
 from siskinroad.appender import Appender
-from siskinroad.beats import Beats
 from siskinroad.cell import Cell
 from siskinroad.charts import load_chart
 from siskinroad.configuration import Configuration
 from siskinroad.errors import ConfigError, Reason, Refusal
 from siskinroad.forwarding import Forwarder, Receiver
-from siskinroad.front import Front, Request
-from siskinroad.jobs import JobDesk
-from siskinroad.keys import KeyGuard
+from siskinroad.heartbeats import PeriodicMessages
+from siskinroad.idempotency import IdempotencyGuard
+from siskinroad.jobs import JobService
 from siskinroad.ledger import Ledger
 from siskinroad.limits import ByteLimit
-from siskinroad.loads import LoadTable
-from siskinroad.logfeed import LogFeed, Stream
+from siskinroad.load_reports import LoadTable
+from siskinroad.log_reader import LogReader, Stream
 from siskinroad.membership import Membership
 from siskinroad.messages import (
     Digest,
     Forward,
     ForwardAck,
-    ForwardAsk,
+    ForwardQuery,
     Heartbeat,
+    HostListUpdate,
     JobReply,
     JobRequest,
-    ListNews,
     LogFetch,
     LogRecords,
     LogTail,
@@ -43,38 +42,46 @@
 )
 from siskinroad.metrics import Metrics
 from siskinroad.ownership import Ownership
-from siskinroad.peers import Peers
-from siskinroad.platform import CELL_STREAM, Platform, dc_stream
+from siskinroad.peers import PeerTransport
+from siskinroad.platform import CELL_STREAM, Platform, data_centre_stream
 from siskinroad.publisher import Publisher
 from siskinroad.records import Record
+from siskinroad.request_handler import Request, RequestHandler
 from siskinroad.routing import Place, ShardLoad
 from siskinroad.settings import Settings
-from siskinroad.shards import ShardSet
+from siskinroad.shards import OwnedShards
 from siskinroad.snapshotter import Snapshotter
 from siskinroad.status import explain
-from siskinroad.upstreams import Answer, Upstreams
+from siskinroad.upstreams import UpstreamClient, UpstreamResponse
 
 __all__ = ["Daemon"]
 
-OWNERSHIP_TICK = 0.2
-APPLIED_TIME = 3.0
-DRAIN_POLL = 0.05
+# Seconds between two steps of shard ownership. A larger value delays claims, takeovers
+# and releases.
+OWNERSHIP_INTERVAL = 0.2
+# Seconds to wait until this daemon has read an appended record back; also for pending
+# releases at the end of a drain. A smaller value reports confirmed appends as failed.
+APPLY_TIMEOUT = 3.0
+# Seconds between two checks whether a drain has finished.
+DRAIN_POLL_INTERVAL = 0.05
+# Seconds for which a drained daemon still refuses work of peers that do not know of the
+# drain. Without it they wait for a daemon that has gone.
 LINGER_TIME = 1.2
 
 log = logging.getLogger("siskinroad.entry")
 
 
 class Daemon:
-    """One daemon, without its listeners.
+    """Daemon of an entry host, without its HTTP listeners.
 
     Parameters
     ----------
     cfg : Settings
-        Its settings.
+        The daemon's settings.
     incarnation : int
-        Higher at each start of the same daemon.
-    platform, upstreams, peers : Platform, Upstreams, Peers
-        The outside.
+        A number that rises with each start of the same daemon.
+    platform, upstreams, peers : Platform, UpstreamClient, PeerTransport
+        Clients of the platform, of upstream hosts and of other daemons.
     rng : random.Random
         Seeded source of jitter.
     """
@@ -84,8 +91,8 @@
         cfg: Settings,
         incarnation: int,
         platform: Platform,
-        upstreams: Upstreams,
-        peers: Peers,
+        upstreams: UpstreamClient,
+        peers: PeerTransport,
         rng: random.Random,
     ) -> None:
         self.cfg = cfg
@@ -98,26 +105,26 @@
         self.metrics = Metrics()
         self.bytes = ByteLimit(cfg.max_waiting_bytes)
         self.state = load_chart("daemon").initial
-        self._build_agreement()
-        self._build_work()
+        self._build_coordination()
+        self._build_request_path()
         self.peers.receiver = self._receive
         self._tasks: list[asyncio.Task[None]] = []
         self._applied = asyncio.Condition()
 
-    def _build_agreement(self) -> None:
+    def _build_coordination(self) -> None:
         cfg, rng = self.cfg, self.rng
         send = self.peers.send
-        stream = dc_stream(cfg.data_centre)
+        stream = data_centre_stream(cfg.data_centre)
         self.members = Membership(cfg.name)
         self.ledger = Ledger()
         self.configuration = Configuration()
         self.ownership = Ownership(
             cfg.name, self.incarnation, self.ledger, self.members
         )
-        self.feed = LogFeed(
-            cfg.name, self.platform, self.members, send, self._confirmed, rng
+        self.log_reader = LogReader(
+            cfg.name, self.platform, self.members, send, self._confirm_by_log, rng
         )
-        self.feed.follow(
+        self.log_reader.follow(
             Stream(
                 CELL_STREAM,
                 lambda: self.configuration.next_offset,
@@ -125,7 +132,7 @@
                 self._skip_cell,
             )
         )
-        self.feed.follow(
+        self.log_reader.follow(
             Stream(
                 stream,
                 lambda: self.ledger.next_offset,
@@ -134,19 +141,21 @@
             )
         )
         self.appender = Appender(
-            self.platform, stream, cfg.name, rng, lambda _: self.feed.nudge()
+            self.platform, stream, cfg.name, rng, lambda _: self.log_reader.wake()
         )
         self.cell_appender = Appender(
-            self.platform, CELL_STREAM, cfg.name, rng, lambda _: self.feed.nudge()
+            self.platform, CELL_STREAM, cfg.name, rng, lambda _: self.log_reader.wake()
         )
         self.snapshotter = Snapshotter(self)
 
-    def _build_work(self) -> None:
+    def _build_request_path(self) -> None:
         cfg, rng = self.cfg, self.rng
         send = self.peers.send
-        put = self.appender.put
-        self.guard = KeyGuard(cfg.name, self.ledger, put, self._ledger_applied)
-        self.shards = ShardSet(
+        append = self.appender.append
+        self.guard = IdempotencyGuard(
+            cfg.name, self.ledger, append, self._ledger_applied
+        )
+        self.shards = OwnedShards(
             self.place,
             self.ownership,
             self.ledger,
@@ -159,7 +168,7 @@
         self.load_table = LoadTable(self.place, self.members)
         self.forwarder = Forwarder(cfg.name, self.incarnation, send)
         self.receiver = Receiver(self.incarnation, send, self._run_forwarded)
-        self.front = Front(
+        self.request_handler = RequestHandler(
             cfg.name,
             self.place,
             self.loads,
@@ -168,13 +177,13 @@
             self.load_table.incarnation,
             rng,
         )
-        self.jobs = JobDesk(
+        self.jobs = JobService(
             cfg.name,
             self.incarnation,
             self.place,
             self.shards,
             self.ledger,
-            put,
+            append,
             self._ledger_applied,
             self.loads,
             send,
@@ -186,137 +195,145 @@
             self.configuration,
             self.members,
             self.load_table,
-            self.cell_appender.put,
+            self.cell_appender.append,
             self._cell_applied,
         )
-        self.beats = Beats(self)
+        self.periodic = PeriodicMessages(self)
 
-    # Life
+    # Start and stop
 
     def start(self) -> None:
-        """Start every loop of the daemon."""
+        """Start the background loops of the daemon."""
         for coro in (
             self.appender.run(),
             self.cell_appender.run(),
-            self.feed.run(),
-            self.beats.run(),
-            self.beats.run_list(),
-            self.beats.run_digests(),
+            self.log_reader.run(),
+            self.periodic.run(),
+            self.periodic.run_host_list(),
+            self.periodic.run_digests(),
             self.snapshotter.run(),
             self._run_ownership(),
         ):
-            self._tasks.append(asyncio.get_running_loop().create_task(_guarded(coro)))
+            self._tasks.append(
+                asyncio.get_running_loop().create_task(_run_logged(coro))
+            )
 
     async def _run_ownership(self) -> None:
         while True:
             self.shards.tick()
-            await asyncio.sleep(OWNERSHIP_TICK)
+            await asyncio.sleep(OWNERSHIP_INTERVAL)
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Whether callers may send requests to this daemon."""
         return self.state == "ready"
 
     async def drain(self) -> bool:
-        """Hand everything over and finish what is in progress.
+        """Release all shards and finish the requests in progress.
 
         Returns
         -------
         bool
-            False if the time allowed for it ran out.
+            False if this took longer than the setting ``drain_s``.
         """
         loop = asyncio.get_running_loop()
-        until = loop.time() + self.cfg.drain_s
-        self.state = load_chart("daemon").next(self.state, "stop")
+        deadline = loop.time() + self.cfg.drain_s
+        self.state = load_chart("daemon").next_state(self.state, "stop")
         self.ownership.draining = True
         self.members.draining = True
-        self.beats.send_now()
-        log.info("entry: draining")
-        while loop.time() < until:
-            held = any(h.state != "idle" for h in self.ownership.holdings.values())
-            work = self.front.in_progress or self.shards.busy or self.receiver.active
-            if not held and not work and not self.shards.owners:
+        self.periodic.send_heartbeats()
+        log.info("entry: drain started")
+        while loop.time() < deadline:
+            holds_shards = any(
+                h.state != "idle" for h in self.ownership.shard_claims.values()
+            )
+            has_work = (
+                self.request_handler.in_progress
+                or self.shards.request_count
+                or self.receiver.running
+            )
+            if not holds_shards and not has_work and not self.shards.owners:
                 break
-            await asyncio.sleep(DRAIN_POLL)
-        done = loop.time() < until
-        if done:
+            await asyncio.sleep(DRAIN_POLL_INTERVAL)
+        is_done = loop.time() < deadline
+        if is_done:
             await self._flush()
-            # Peers that have not heard yet still send work here; it is refused
-            # as not run, so that they turn to the next owner.
+            # Peers that do not know of the drain yet still send work here. It is
+            # refused as not run, so that they send it to the next owner.
             await asyncio.sleep(LINGER_TIME)
-        self.state = load_chart("daemon").next(
-            self.state, "idle" if done else "timeout"
+        self.state = load_chart("daemon").next_state(
+            self.state, "idle" if is_done else "timeout"
         )
-        log.info("entry: drained" if done else "entry: drain timed out")
-        return done
+        log.info("entry: drain finished" if is_done else "entry: drain timed out")
+        return is_done
 
     async def _flush(self) -> None:
-        """Wait until the releases are on record, or the log seems down."""
+        """Wait until the releases are stored, at most ``APPLY_TIMEOUT`` seconds."""
         try:
-            async with asyncio.timeout(APPLIED_TIME):
-                await self.appender.flushed()
+            async with asyncio.timeout(APPLY_TIMEOUT):
+                await self.appender.wait_flushed()
         except TimeoutError:
-            log.warning("entry: releases are not on record")
+            log.warning("entry: releases of shards not confirmed by the log in time")
 
     async def close(self) -> None:
-        """Stop at once, as a crash would."""
+        """Stop at once without releasing shards, as a crash would."""
         self.shards.close()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         await self.peers.close()
 
-    # The log
+    # Records of the log
 
     def _apply_cell(self, offset: int, records: list[Record]) -> None:
         if self.configuration.apply(offset, records):
             self.put_in_force()
-        self._note_applied()
+        self._schedule_notify()
 
     def _skip_cell(self, first: int) -> None:
         self.configuration.next_offset = first
-        self.beats.want_revision()
+        self.periodic.request_revision()
 
     def _apply_ledger(self, offset: int, records: list[Record]) -> None:
-        was_whole = self.ledger.whole
+        was_complete = self.ledger.is_complete
         self.ledger.apply(offset, records)
-        if self.ledger.whole and not was_whole:
-            self.shards.hear_snapshot()
-        self.shards.hear_records(records)
-        self._note_applied()
+        if self.ledger.is_complete and not was_complete:
+            self.shards.apply_snapshot()
+        self.shards.apply_records(records)
+        self._schedule_notify()
 
     def put_in_force(self) -> None:
-        """Put the configuration's cell in force in every part."""
+        """Apply the configuration's cell file to all components."""
         cell = self.configuration.cell
         assert cell is not None
         self.shards.configure(cell)
         self.metrics.revision.set(self.configuration.revision)
         if self.state == "starting":
-            self.state = load_chart("daemon").next(self.state, "configured")
+            self.state = load_chart("daemon").next_state(self.state, "configured")
         log.info("entry: revision %d is in force", self.configuration.revision)
 
-    def _note_applied(self) -> None:
-        asyncio.get_running_loop().create_task(self._notify())
+    def _schedule_notify(self) -> None:
+        asyncio.get_running_loop().create_task(self._notify_applied())
 
-    async def _notify(self) -> None:
+    async def _notify_applied(self) -> None:
         async with self._applied:
             self._applied.notify_all()
 
     async def _ledger_applied(self, offset: int) -> None:
-        await self._until(lambda: self.ledger.next_offset > offset)
+        await self._wait_until(lambda: self.ledger.next_offset > offset)
 
     async def _cell_applied(self, offset: int) -> None:
-        await self._until(lambda: self.configuration.next_offset > offset)
+        await self._wait_until(lambda: self.configuration.next_offset > offset)
 
-    async def _until(self, reached: Any) -> None:
-        async with asyncio.timeout(APPLIED_TIME), self._applied:
-            await self._applied.wait_for(reached)
+    async def _wait_until(self, predicate: Any) -> None:
+        async with asyncio.timeout(APPLY_TIMEOUT), self._applied:
+            await self._applied.wait_for(predicate)
 
-    def _confirmed(self, stream: str, stamp: float) -> None:
-        if stream == dc_stream(self.cfg.data_centre):
-            self.ownership.log_confirmed(stamp)
+    def _confirm_by_log(self, stream: str, stamp: float) -> None:
+        if stream == data_centre_stream(self.cfg.data_centre):
+            self.ownership.confirm_by_log(stamp)
 
-    # Work
+    # Requests
 
     def cell(self) -> Cell:
         """Return the cell in force.
@@ -324,7 +341,7 @@
         Raises
         ------
         Refusal
-            ``NO_CONFIGURATION`` while there is none.
+            ``NO_CONFIGURATION`` if neither the log nor a peer has given one.
         """
         cell = self.configuration.cell
         if cell is None:
@@ -335,14 +352,14 @@
         return cell
 
     def loads(self) -> list[ShardLoad]:
-        """Return every shard that is known, with its owner."""
+        """Return the load and owner of every known shard, in all data centres."""
         now = asyncio.get_running_loop().time()
-        loads = self.load_table.near(now)
+        loads = self.load_table.local_loads(now)
         for load in self.shards.loads():
             loads[load.shard] = load
-        return [*loads.values(), *self.load_table.abroad.values()]
+        return [*loads.values(), *self.load_table.remote_loads.values()]
 
-    async def _run_forwarded(self, msg: Forward) -> Answer:
+    async def _run_forwarded(self, msg: Forward) -> UpstreamResponse:
         workload = self.cell().workloads.get(msg.service)
         if workload is None:
             raise Refusal(Reason.UNKNOWN_SERVICE, step="receive")
@@ -356,50 +373,50 @@
         now = asyncio.get_running_loop().time()
         match msg:
             case Heartbeat():
-                self.beats.hear(msg, now)
+                self.periodic.handle_heartbeat(msg, now)
             case LogTail():
-                self.feed.hear_tail(msg, now)
+                self.log_reader.handle_tail(msg, now)
             case LogRecords():
-                self.feed.hear_records(msg)
+                self.log_reader.handle_records(msg)
             case LogFetch():
-                self.feed.hear_fetch(msg)
+                self.log_reader.handle_fetch(msg)
             case Forward():
-                self.receiver.hear(msg)
-            case ForwardAsk():
-                self.receiver.hear_ask(msg)
+                self.receiver.receive(msg)
+            case ForwardQuery():
+                self.receiver.receive_query(msg)
             case ForwardAck():
-                self.forwarder.hear_ack(msg)
+                self.forwarder.receive_ack(msg)
             case Reply():
-                self.forwarder.hear_reply(msg)
+                self.forwarder.receive_reply(msg)
             case JobRequest():
-                self.jobs.hear(msg)
+                self.jobs.receive(msg)
             case JobReply():
-                self.jobs.hear_reply(msg)
+                self.jobs.receive_reply(msg)
             case Digest():
-                self.beats.hear_digest(msg, now)
-            case ListNews():
-                self.beats.hear_list(msg)
+                self.periodic.handle_digest(msg, now)
+            case HostListUpdate():
+                self.periodic.handle_host_list(msg)
             case SnapshotWanted():
-                self.snapshotter.wanted()
+                self.snapshotter.write_on_request()
             case RevisionWanted():
-                self.beats.hear_wanted(msg)
+                self.periodic.handle_revision_request(msg)
             case RevisionOffer():
-                self._hear_offer(msg)
+                self._handle_offer(msg)
 
-    def _hear_offer(self, msg: RevisionOffer) -> None:
+    def _handle_offer(self, msg: RevisionOffer) -> None:
         try:
-            if self.configuration.adopt(msg.whole):
+            if self.configuration.apply_if_newer(msg.whole):
                 self.put_in_force()
         except ConfigError as exc:
-            log.error("entry: a peer's revision is not valid: %s", exc)
+            log.error("entry: peer offered an invalid revision: %s", exc)
 
 
-async def _guarded(coro: Coroutine[Any, Any, None]) -> None:
-    """Log what ends a loop that should not end."""
+async def _run_logged(coro: Coroutine[Any, Any, None]) -> None:
+    """Run a background loop and log the exception that ends it, if any."""
     try:
         await coro
     except asyncio.CancelledError:
         raise
     except Exception:
-        log.exception("entry: a loop has failed")
+        log.exception("entry: background loop failed")
         raise
--- /dev/null
+++ b/siskinroad/host_monitor.py
@@ -0,0 +1,370 @@
+"""Monitor of one upstream host: inventories, silence and task leases."""
+
+from __future__ import annotations
+
+import asyncio
+from dataclasses import dataclass, field
+from typing import Protocol
+
+from siskinroad.cell import Host
+from siskinroad.effects import ControlTask, End
+from siskinroad.errors import NotSentError, OutcomeUnknownError, StaleEpochError
+from siskinroad.names import AttemptName, attempt_name, parse_attempt, split_task
+from siskinroad.owner_context import OwnerContext
+from siskinroad.placement import HostView
+from siskinroad.resources import Resources
+from siskinroad.upstreams import Control, Inventory, TaskReport, TaskState, Usage
+
+__all__ = ["TASK_LEASE_S", "HostMonitor", "MonitoredOwner", "monitor_host"]
+
+# Lease of a task in seconds: the host stops it when no inventory has renewed it for
+# so long. If it is too short, a brief outage stops tasks; a longer one delays the
+# restart of the tasks of a dead host.
+TASK_LEASE_S = 20.0
+# Long-poll time of an inventory request in seconds: the host answers when a task
+# ends, at the latest after this. It must stay below ``TASK_LEASE_S``, as each inventory
+# renews the leases.
+INVENTORY_WAIT = 10.0
+# Seconds beyond the long poll after which a host counts as silent.
+INVENTORY_MARGIN = 1.0
+# Seconds between inventory requests to a silent host.
+SILENT_RETRY_INTERVAL = 1.0
+# Seconds added to a lease before its tasks are taken as ended. Without it, a task
+# could be started elsewhere while the silent host still runs it.
+LEASE_MARGIN = 1.0
+# Pauses between inventories in seconds: the shortest, and the longest while the
+# inventory stays the same. A host answers at once while it lists ended tasks, so
+# without the pauses the monitor would poll in a tight loop.
+MIN_PAUSE = 0.02
+MAX_UNCHANGED_PAUSE = 1.0
+# Names under which the host index reserves resources for work of earlier owners:
+# requests in progress, and tasks that no accepted job accounts for.
+LEFTOVER_REQUESTS = "requests-of-others~0"
+UNKNOWN_TASK = "stranger"
+
+END_BY_STATE = {
+    TaskState.DONE: End.DONE,
+    TaskState.FAILED: End.FAILED,
+    TaskState.STOPPED: End.STOPPED,
+    TaskState.CHECKPOINTED: End.CHECKPOINTED,
+}
+
+
+@dataclass(slots=True, eq=False)
+class HostMonitor:
+    """Monitor of one host of an owned shard.
+
+    Attributes
+    ----------
+    has_answered : bool
+        The host has answered an inventory request of this owner.
+    is_silent : bool
+        The last inventory request failed or timed out.
+    last_renewal : float
+        Loop time of the last request that may have renewed its task leases.
+    leases_expired : bool
+        Its task leases have expired since it became silent.
+    is_removed : bool
+        The host is no longer in the configuration.
+    last_start_ended_at : float
+        Loop time at which the last call to start a task on it ended.
+    starting : set of str
+        Attempts whose start is in flight.
+    acked : list of str
+        Ended attempts to acknowledge, so that the host can forget them.
+    controls_to_retry : list of ControlTask
+        Control commands that failed and are sent again after the next inventory.
+    unrecorded : set of str
+        Ended attempts whose end is not stored yet.
+    last_reported : list of tuple
+        Attempts and states in the last inventory.
+    is_unchanged : bool
+        The last two inventories were the same, for example because ended tasks
+        cannot be acknowledged while the log is unavailable.
+    leftover_requests : int
+        Requests of earlier owners in progress on the host; -1 before the first
+        inventory.
+    """
+
+    host: Host
+    has_answered: bool = False
+    is_silent: bool = False
+    leases_expired: bool = False
+    is_removed: bool = False
+    last_renewal: float = float("-inf")
+    last_start_ended_at: float = float("-inf")
+    starting: set[str] = field(default_factory=set)
+    acked: list[str] = field(default_factory=list)
+    controls_to_retry: list[ControlTask] = field(default_factory=list)
+    unrecorded: set[str] = field(default_factory=set)
+    leftover_requests: int = -1
+    last_reported: list[tuple[str, TaskState]] = field(default_factory=list)
+    is_unchanged: bool = False
+
+    @property
+    def is_accounted_for(self) -> bool:
+        """Whether no task can run on the host without this owner's knowledge."""
+        return self.has_answered or self.leases_expired
+
+    async def fetch_inventory(
+        self, owner: MonitoredOwner, *, wait: float, renew: bool
+    ) -> bool:
+        """Fetch the inventory once; return whether the host answered.
+
+        Parameters
+        ----------
+        wait : float
+            Long-poll time in seconds.
+        renew : bool
+            Renew the leases of the tasks that run on the host.
+        """
+        loop = asyncio.get_running_loop()
+        asked_at = loop.time()
+        acked, self.acked = self.acked, []
+        try:
+            async with asyncio.timeout(wait + INVENTORY_MARGIN):
+                inventory = await owner.ports.upstreams.inventory(
+                    self.host, owner.epoch, acked, wait, renew
+                )
+        except StaleEpochError:
+            owner.mark_stale()
+            return False
+        except (NotSentError, OutcomeUnknownError, TimeoutError):
+            self.acked += acked
+            self._mark_silent(owner, loop.time(), renew)
+            return False
+        if renew:
+            self.last_renewal = loop.time()
+        self._mark_answered(owner)
+        reported = [(report.attempt, report.state) for report in inventory.tasks]
+        self.is_unchanged, self.last_reported = reported == self.last_reported, reported
+        _apply_inventory(owner, self, inventory, asked_at)
+        return True
+
+    def _mark_silent(self, owner: MonitoredOwner, now: float, renew: bool) -> None:
+        if renew:
+            self.last_renewal = now
+        if not self.is_silent:
+            self.is_silent = True
+            owner.ports.count_event("host", "silent")
+        owner.host_event(self.host.name, "silent")
+
+    def _mark_answered(self, owner: MonitoredOwner) -> None:
+        self.has_answered = True
+        self.is_silent = False
+        self.leases_expired = False
+        owner.host_event(self.host.name, "inventory")
+
+    def check_lease_expiry(
+        self, owner: MonitoredOwner, lease: float, now: float
+    ) -> None:
+        """End the tasks of a silent host as lost once their leases have expired."""
+        if self.leases_expired or now < self.last_renewal + lease + LEASE_MARGIN:
+            return
+        self.leases_expired = True
+        owner.ports.count_event("host", "lapsed")
+        owner.run(owner.scheduler.lose_tasks(self.host.name, now))
+
+
+class TaskTracker(Protocol):
+    """Tasks that the shard's owner expects on its hosts."""
+
+    def adopt(self, name: AttemptName, host: str) -> bool:
+        """Adopt a task that a host reports; return False if it must not run."""
+
+    def acknowledge(self, key: str, monitor: HostMonitor, attempt: str) -> None:
+        """Acknowledge an ended attempt to its host once nothing depends on it."""
+
+
+class MonitoredOwner(OwnerContext, Protocol):
+    """A shard's owner with its host monitors in ``monitors``, by host name."""
+
+    monitors: dict[str, HostMonitor]
+
+    @property
+    def tasks(self) -> TaskTracker:
+        """Tasks of the shard's jobs."""
+
+
+async def monitor_host(owner: MonitoredOwner, monitor: HostMonitor) -> None:
+    """Fetch a host's inventory in a loop until the host is removed.
+
+    No lease is renewed while the host is silent, so that its task leases are certain
+    to expire: a request that reaches it although the reply is lost would renew them.
+    """
+    loop = asyncio.get_running_loop()
+    pause = MIN_PAUSE
+    while not monitor.is_removed:
+        if monitor.is_silent:
+            await asyncio.sleep(SILENT_RETRY_INTERVAL)
+            await monitor.fetch_inventory(owner, wait=0.0, renew=False)
+            monitor.check_lease_expiry(owner, TASK_LEASE_S, loop.time())
+            continue
+        if await monitor.fetch_inventory(owner, wait=INVENTORY_WAIT, renew=True):
+            doubled_pause = min(pause * 2, MAX_UNCHANGED_PAUSE)
+            pause = doubled_pause if monitor.is_unchanged else MIN_PAUSE
+            await asyncio.sleep(pause)
+
+
+def _apply_inventory(
+    owner: MonitoredOwner, monitor: HostMonitor, inventory: Inventory, asked_at: float
+) -> None:
+    """Reconcile the scheduler's state with a host's inventory."""
+    if inventory.leaving:
+        owner.host_event(monitor.host.name, "leave")
+    view = owner.scheduler.view(monitor.host.name)
+    if view is None:
+        return
+    usage: list[tuple[str, int, Usage]] = []
+    unknown: list[TaskReport] = []
+    _release_unknown_tasks(owner, view)
+    for report in inventory.tasks:
+        name = parse_attempt(report.attempt)
+        if name is None or report.state is not TaskState.RUNNING:
+            continue
+        if not _apply_running_task(owner, monitor, name, report, usage):
+            unknown.append(report)
+    _reserve_unknown_tasks(owner, view, unknown)
+    for report in inventory.tasks:
+        name = parse_attempt(report.attempt)
+        if name is not None and report.state is not TaskState.RUNNING:
+            _apply_ended_task(owner, monitor, name, report)
+    listed = {report.attempt for report in inventory.tasks}
+    _end_unlisted_tasks(owner, monitor, view, listed, asked_at)
+    _reserve_leftover_requests(owner, monitor, view, inventory.requests)
+    now = asyncio.get_running_loop().time()
+    owner.run(owner.scheduler.apply_usage(monitor.host.name, usage, now))
+    controls, monitor.controls_to_retry = monitor.controls_to_retry, []
+    owner.run(list(controls))
+
+
+def _apply_running_task(
+    owner: MonitoredOwner,
+    monitor: HostMonitor,
+    name: AttemptName,
+    report: TaskReport,
+    usage: list[tuple[str, int, Usage]],
+) -> bool:
+    """Apply the report of a running task; stop it if no job accounts for it.
+
+    Returns False if the task was told to stop.
+    """
+    host = monitor.host.name
+    run = owner.scheduler.shard.running.get(name.key)
+    known = run is not None and run.attempt == name.run and name.member in run.hosts
+    if not known and not owner.tasks.adopt(name, host):
+        stop = ControlTask(name.key, name.run, host, name.member, Control.STOP)
+        owner.run([stop])
+        return False
+    owner.scheduler.record_attempt_start(name.key)
+    usage.append((name.key, name.member, report.usage))
+    return True
+
+
+def _release_unknown_tasks(owner: MonitoredOwner, view: HostView) -> None:
+    index = owner.scheduler.shard.pool_state(view.name).index
+    for task in [task for task in view.tasks if task.startswith(UNKNOWN_TASK)]:
+        index.release(view, task, UNKNOWN_TASK)
+
+
+def _reserve_unknown_tasks(
+    owner: MonitoredOwner, view: HostView, reports: list[TaskReport]
+) -> None:
+    """Reserve capacity for tasks that were told to stop, until they have stopped."""
+    shard = owner.scheduler.shard
+    index = shard.pool_state(view.name).index
+    for report in reports:
+        workload = shard.cell.workloads.get(report.workload)
+        used = Resources(report.usage.cpu_milli, report.usage.memory_mib, 0, 1)
+        need = workload.demand if workload is not None else used
+        free = Resources(view.cpu, view.memory, view.accelerators, view.slots)
+        task = f"{UNKNOWN_TASK} {report.attempt}~0"
+        index.allocate(view, task, need.clip(free), UNKNOWN_TASK)
+
+
+def _apply_ended_task(
+    owner: MonitoredOwner, monitor: HostMonitor, name: AttemptName, report: TaskReport
+) -> None:
+    if report.attempt in monitor.unrecorded:
+        return
+    running = owner.scheduler.shard.running
+    run = running.get(name.key)
+    if run is None or run.attempt != name.run:
+        owner.tasks.adopt(name, monitor.host.name)
+        run = running.get(name.key)
+    monitor.unrecorded.add(report.attempt)
+    if run is not None and run.attempt == name.run and name.member in run.hosts:
+        now = asyncio.get_running_loop().time()
+        end = END_BY_STATE[report.state]
+        effects = owner.scheduler.record_attempt_end(
+            name.key, name.member, end, now, report.run_time, report.usage
+        )
+        owner.run(effects)
+    owner.tasks.acknowledge(name.key, monitor, report.attempt)
+
+
+def _end_unlisted_tasks(
+    owner: MonitoredOwner,
+    monitor: HostMonitor,
+    view: HostView,
+    listed: set[str],
+    asked_at: float,
+) -> None:
+    """End as lost the tasks that are missing from an inventory.
+
+    An inventory requested before the last start on the host ended may lack that
+    task, so it ends none.
+    """
+    if monitor.last_start_ended_at >= asked_at:
+        return
+    now = asyncio.get_running_loop().time()
+    for task in list(view.tasks):
+        key, member = split_task(task)
+        run = owner.scheduler.shard.running.get(key)
+        if run is None or run.item.workload.kind == "service":
+            continue
+        attempt = attempt_name(run.attempt, member)
+        if attempt not in listed and attempt not in monitor.starting:
+            owner.run(owner.scheduler.record_attempt_end(key, member, End.LOST, now))
+
+
+def _reserve_leftover_requests(
+    owner: MonitoredOwner, monitor: HostMonitor, view: HostView, requests: int
+) -> None:
+    """Reserve capacity for requests that earlier owners left on the host."""
+    if monitor.leftover_requests == 0:
+        return
+    index = owner.scheduler.shard.pool_state(view.name).index
+    if LEFTOVER_REQUESTS in view.tasks:
+        index.release(view, LEFTOVER_REQUESTS, LEFTOVER_REQUESTS)
+    leftover = max(0, requests - _count_own_requests(owner, view))
+    monitor.leftover_requests = (
+        leftover
+        if monitor.leftover_requests < 0
+        else min(leftover, monitor.leftover_requests)
+    )
+    if monitor.leftover_requests:
+        need = _largest_request(owner, monitor.host).times(monitor.leftover_requests)
+        free = Resources(view.cpu, view.memory, view.accelerators, view.slots)
+        index.allocate(view, LEFTOVER_REQUESTS, need.clip(free), LEFTOVER_REQUESTS)
+
+
+def _count_own_requests(owner: MonitoredOwner, view: HostView) -> int:
+    running = owner.scheduler.shard.running
+    keys = (split_task(task)[0] for task in view.tasks)
+    runs = (running.get(key) for key in keys)
+    return sum(1 for run in runs if run and run.item.workload.kind == "service")
+
+
+def _largest_request(owner: MonitoredOwner, host: Host) -> Resources:
+    needs = [
+        workload.demand
+        for workload in owner.scheduler.shard.cell.workloads.values()
+        if workload.pool == host.pool and workload.kind == "service"
+    ]
+    return Resources(
+        max((need.cpu_milli for need in needs), default=0),
+        max((need.memory_mib for need in needs), default=0),
+        max((need.accelerators for need in needs), default=0),
+        1,
+    )
--- a/siskinroad/owner.py
+++ b/siskinroad/owner.py
@@ -1,4 +1,4 @@
-"""A shard in this daemon's hands: the scheduler's effects carried out."""
+"""Owner of one shard: carries out the effects that its scheduler returns."""
 
 from __future__ import annotations
 
@@ -10,29 +10,34 @@
 from siskinroad.cell import Cell, Host
 from siskinroad.effects import ControlTask, Effect, Finished, Refused, StartTask
 from siskinroad.errors import NotSentError, OutcomeUnknownError, StaleEpochError
-from siskinroad.hostwatch import HostWatch, watch_host
+from siskinroad.host_monitor import HostMonitor, monitor_host
 from siskinroad.names import attempt_name
-from siskinroad.ownerview import OwnerPorts
-from siskinroad.requests import Requests
+from siskinroad.owner_context import OwnerPorts
+from siskinroad.requests import RequestTable
 from siskinroad.resources import Resources
-from siskinroad.scheduler import TICK_TIME, Scheduler
-from siskinroad.tasks import Tasks
+from siskinroad.scheduler import TICK_INTERVAL, Scheduler
+from siskinroad.tasks import TaskTable
 
 __all__ = ["ShardOwner"]
 
-RELEASE_POLL = 0.02
-MIN_TICK_TIME = 0.01
+# Seconds between checks for task starts in flight during a release. A longer one
+# delays the handover of the shard.
+RELEASE_POLL_INTERVAL = 0.02
+# Shortest sleep between scheduler ticks, in seconds; the longest is ``TICK_INTERVAL``.
+# Without it, a timer that is already due would make the loop spin.
+MIN_TICK_INTERVAL = 0.01
 
 log = logging.getLogger("siskinroad.owner")
 
 
 class ShardOwner:
-    """Places work on one shard from its take-over to its release.
+    """Scheduler loop of one shard, from its takeover to its release.
 
     Parameters
     ----------
     shard, epoch : str, int
-        The claim under which this daemon places work.
+        The claim under which this daemon places work. The epoch is sent to the
+        hosts as the fencing token.
     hosts : list of Host
         The shard's hosts.
     """
@@ -45,128 +50,140 @@
         self.epoch = epoch
         self.ports = ports
         self.scheduler = Scheduler(cell, ports.rng, now)
-        self.scheduler.paused = True
-        self.stale = False
-        self.watches: dict[str, HostWatch] = {}
-        self.requests = Requests(self)
-        self.tasks = Tasks(self)
-        self._sending: set[asyncio.Task[None]] = set()
+        self.scheduler.is_paused = True
+        self.is_stale = False
+        self.monitors: dict[str, HostMonitor] = {}
+        self.requests = RequestTable(self)
+        self.tasks = TaskTable(self)
+        self._in_flight: set[asyncio.Task[None]] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self.closed = False
+        self.is_closed = False
         for host in hosts:
             self._add_host(host)
 
     def now(self) -> float:
-        """Return the loop's time."""
+        """Return the event loop's time in seconds."""
         return asyncio.get_running_loop().time()
 
     def _add_host(self, host: Host) -> None:
         self.scheduler.add_host(host, self.now())
-        self.watches[host.name] = HostWatch(host)
+        self.monitors[host.name] = HostMonitor(host)
 
-    # Life
+    # Lifecycle
 
-    async def take(self) -> None:
-        """Ask every host what it runs, then start to place work."""
+    async def take_over(self) -> None:
+        """Fetch the inventory of every host, then start to place work."""
         async with asyncio.TaskGroup() as group:
-            for watch in self.watches.values():
-                group.create_task(self._first_inventory(watch))
-        if self.closed:
+            for monitor in self.monitors.values():
+                group.create_task(self._fetch_first_inventory(monitor))
+        if self.is_closed:
             return
-        for watch in self.watches.values():
-            self.spawn(watch_host(self, watch))
+        for monitor in self.monitors.values():
+            self.spawn(monitor_host(self, monitor))
         self.spawn(self._tick())
-        self.tasks.queue_unfound()
+        self.tasks.queue_missing()
         self.resume()
 
-    async def _first_inventory(self, watch: HostWatch) -> None:
-        await watch.ask(self, wait=0.0, renew=True)
+    async def _fetch_first_inventory(self, monitor: HostMonitor) -> None:
+        await monitor.fetch_inventory(self, wait=0.0, renew=True)
 
     def resume(self) -> None:
-        """Start work again; this is called when the claim is certain."""
-        if not self.closed:
+        """Place work again; called once ownership of the shard is certain."""
+        if not self.is_closed:
             self.run(self.scheduler.resume(self.now()))
 
     def suspend(self, *, requests: bool = False) -> None:
-        """Start nothing until resumed, or requests only."""
-        self.scheduler.paused = not requests
+        """Place no work until resumed; with ``requests``, still place requests."""
+        self.scheduler.is_paused = not requests
         self.scheduler.requests_only = requests
 
     async def release(self) -> None:
-        """Start nothing more and wait until no start of a task is under way.
+        """Place no more work and wait until no task start is in flight.
 
-        Requests in progress go on; the next owner sees them on the hosts.
+        Requests in progress continue; the next owner finds them in the hosts'
+        inventories.
         """
         self.suspend()
-        while any(watch.starting for watch in self.watches.values()):
-            await asyncio.sleep(RELEASE_POLL)
+        while any(monitor.starting for monitor in self.monitors.values()):
+            await asyncio.sleep(RELEASE_POLL_INTERVAL)
 
     def close(self) -> None:
-        """Stop deciding; what was sent is answered as far as is known.
+        """Stop scheduling; work already sent still gets its reply.
 
-        Requests that still wait are refused as not run, so that the callers'
-        daemons send them to the next owner.
+        Queued requests are refused as not run, so that the daemons that
+        received them from callers send them to the next owner.
         """
-        self.closed = True
-        self.scheduler.paused = True
-        self.requests.hand_back_unsent()
-        for task in self._tasks - self._sending:
+        self.is_closed = True
+        self.scheduler.is_paused = True
+        self.requests.refuse_unsent()
+        for task in self._tasks - self._in_flight:
             task.cancel()
 
-    async def idle(self) -> None:
-        """Wait until every request and start that was sent has its answer."""
-        while self._sending:
-            await asyncio.wait(set(self._sending))
+    async def wait_idle(self) -> None:
+        """Wait until every request and task start in flight has completed."""
+        while self._in_flight:
+            await asyncio.wait(set(self._in_flight))
 
     def spawn(self, coro: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Run a coroutine until the owner is closed."""
+        """Run a coroutine as a task that is cancelled when the owner is closed.
+
+        Requests and task starts in flight are not cancelled.
+        """
         task = asyncio.get_running_loop().create_task(coro)
         self._tasks.add(task)
-        task.add_done_callback(self._reap)
+        task.add_done_callback(self._on_task_done)
         return task
 
-    def _reap(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
-        self._sending.discard(task)
+        self._in_flight.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("owner: %s failed", self.shard, exc_info=task.exception())
+            log.error(
+                "owner: background task of shard %s failed",
+                self.shard,
+                exc_info=task.exception(),
+            )
 
     async def _tick(self) -> None:
         while True:
-            pause = self.scheduler.next_time() - self.now()
-            await asyncio.sleep(min(max(pause, MIN_TICK_TIME), TICK_TIME))
+            pause = self.scheduler.next_tick_time() - self.now()
+            await asyncio.sleep(min(max(pause, MIN_TICK_INTERVAL), TICK_INTERVAL))
             self.run(self.scheduler.tick(self.now()))
 
     def configure(self, cell: Cell, hosts: list[Host]) -> None:
-        """Put another configuration in force."""
+        """Apply a new cell configuration: remove, add and update hosts."""
         now = self.now()
         names = {host.name for host in hosts}
-        for name in [name for name in self.watches if name not in names]:
-            watch = self.watches.pop(name)
-            watch.removed = True
+        for name in [name for name in self.monitors if name not in names]:
+            monitor = self.monitors.pop(name)
+            monitor.is_removed = True
             self.run(self.scheduler.remove_host(name, now))
         self.run(self.scheduler.configure(cell, now))
         for host in hosts:
-            if host.name not in self.watches:
+            if host.name not in self.monitors:
                 self._add_host(host)
-                self.spawn(watch_host(self, self.watches[host.name]))
-            self.watches[host.name].host = host
+                self.spawn(monitor_host(self, self.monitors[host.name]))
+            self.monitors[host.name].host = host
 
     def host_event(self, name: str, event: str) -> None:
         """Apply an event of the ``upstream`` chart to a host."""
         self.run(self.scheduler.host_event(name, event, self.now()))
 
-    def go_stale(self) -> None:
-        """Stop placing, since a host has seen a later owner's epoch."""
-        if not self.stale:
-            self.stale = True
+    def mark_stale(self) -> None:
+        """Stop placing work after a host has rejected this owner's epoch as stale."""
+        if not self.is_stale:
+            self.is_stale = True
             self.suspend()
-            log.warning("owner: %s was claimed by another daemon", self.shard)
+            log.warning(
+                "owner: a host rejected epoch %d of shard %s as stale; placing no more",
+                self.epoch,
+                self.shard,
+            )
 
     # Effects
 
     def run(self, effects: list[Effect]) -> None:
-        """Carry out what the scheduler has decided, in order."""
+        """Carry out the scheduler's effects in order."""
         for effect in effects:
             match effect:
                 case StartTask():
@@ -175,65 +192,68 @@
                     self.spawn(self._control(effect))
                 case Refused(item=item, refusal=refusal):
                     if item.key in self.requests:
-                        self.requests.refused(item.key, refusal)
+                        self.requests.answer_refused(item.key, refusal)
                     else:
                         self.tasks.record_end(item.key, refusal.reason.value)
                 case Finished(item=item, end=end):
                     if item.key in self.requests:
-                        self.requests.finished(item.key)
+                        self.requests.answer_finished(item.key)
                     else:
-                        self.tasks.finished(item.key, end)
+                        self.tasks.record_finished(item.key, end)
 
     def _start(self, effect: StartTask) -> None:
         item = effect.item
         if item.tries == 1:
-            self.ports.waited(item.workload, self.now() - item.enqueued)
+            self.ports.observe_wait(item.workload, self.now() - item.enqueued)
         if item.workload.kind == "service":
-            self._sending.add(self.spawn(self.requests.send(effect)))
+            self._in_flight.add(self.spawn(self.requests.send(effect)))
             return
         for member, host in enumerate(effect.hosts):
-            # Noted before the first step of the coroutine, since the inventory
-            # being taken in just now may be older than this decision.
-            self.watches[host].starting.add(attempt_name(effect.attempt, member))
-            self._sending.add(self.spawn(self.tasks.start(effect, member)))
+            # Recorded before the coroutine first runs: the inventory being applied
+            # now may be older than this decision and must not end the attempt as
+            # lost.
+            self.monitors[host].starting.add(attempt_name(effect.attempt, member))
+            self._in_flight.add(self.spawn(self.tasks.start(effect, member)))
 
     async def _control(self, effect: ControlTask) -> None:
-        watch = self.watches.get(effect.host)
-        if watch is None or effect.key in self.requests:
+        monitor = self.monitors.get(effect.host)
+        if monitor is None or effect.key in self.requests:
             return
         attempt = attempt_name(effect.attempt, effect.member)
-        self.ports.count("control", effect.do.value)
+        self.ports.count_event("control", effect.action.value)
         try:
             await self.ports.upstreams.control(
-                watch.host, self.epoch, attempt, effect.do
+                monitor.host, self.epoch, attempt, effect.action
             )
         except StaleEpochError:
-            self.go_stale()
+            self.mark_stale()
         except (NotSentError, OutcomeUnknownError):
-            watch.again.append(effect)
+            monitor.controls_to_retry.append(effect)
 
-    # News for others
+    # State for peers and status pages
 
     def free_slots(self) -> int:
-        """Return the room for one more request, in slots."""
-        if self.scheduler.paused:
+        """Return the free slots on all hosts; 0 while no work is placed."""
+        if self.scheduler.is_paused:
             return 0
         pools = self.scheduler.shard.pools.values()
         return sum(state.index.free_slots for state in pools)
 
-    def waits(self) -> dict[str, float]:
-        """Return the expected wait of each workload that has one, in seconds."""
+    def expected_waits(self) -> dict[str, float]:
+        """Return the expected wait in seconds by workload, where above 0.01 s."""
         now = self.now()
         lanes = self.scheduler.shard.waiting.lanes
-        waits = {name: lane.expected_wait(now) for name, lane in lanes.items()}
-        return {name: round(wait, 2) for name, wait in waits.items() if wait > 0.01}
+        expected_waits = {name: lane.expected_wait(now) for name, lane in lanes.items()}
+        return {
+            name: round(wait, 2) for name, wait in expected_waits.items() if wait > 0.01
+        }
 
-    def used(self) -> tuple[Resources, Resources]:
-        """Return what is given away and the capacity of the open hosts."""
+    def usage_and_capacity(self) -> tuple[Resources, Resources]:
+        """Return the allocated resources and the capacity of all open hosts."""
         used = Resources()
         total = Resources()
         for view in self.scheduler.shard.views():
-            if view.open:
+            if view.is_open:
                 used = used + view.used()
                 total = total + view.capacity
         return used, total
--- a/siskinroad/ownership.py
+++ b/siskinroad/ownership.py
@@ -31,13 +31,13 @@
     "LEASE_TIME",
     "Append",
     "DropShard",
-    "Holding",
     "Ownership",
     "OwnershipEffect",
     "ReleaseShard",
     "ResumeShard",
+    "ShardClaim",
     "SuspendShard",
-    "TakeShard",
+    "TakeOverShard",
     "rendezvous",
 ]
 
@@ -73,7 +73,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class TakeShard:
+class TakeOverShard:
     """Ask the shard's hosts which tasks they run, then start placing work."""
 
     shard: str
@@ -110,12 +110,12 @@
 
 
 OwnershipEffect = (
-    Append | TakeShard | SuspendShard | ResumeShard | ReleaseShard | DropShard
+    Append | TakeOverShard | SuspendShard | ResumeShard | ReleaseShard | DropShard
 )
 
 
 @dataclass(slots=True)
-class Holding:
+class ShardClaim:
     """State of the claim that this daemon has or seeks on one shard.
 
     Attributes
@@ -160,10 +160,10 @@
         self.ledger = ledger
         self.members = members
         self.shards: dict[str, bool] = {}
-        self.gone: set[str] = set()
+        self.terminated: set[str] = set()
         self.draining = False
-        self.holdings: dict[str, Holding] = {}
-        self.confirmed = float("-inf")
+        self.shard_claims: dict[str, ShardClaim] = {}
+        self.confirmed_at = float("-inf")
         self._chart = load_chart("claim")
         self._join_attempted_at = float("-inf")
         self._misplaced_since: dict[str, float] = {}
@@ -174,46 +174,50 @@
         """Set the data centre's shards, each with whether its hosts check epochs."""
         self.shards = dict(shards)
 
-    def set_gone(self, names: set[str]) -> None:
+    def set_terminated(self, names: set[str]) -> None:
         """Set the daemons that the platform lists as terminated."""
-        self.gone = set(names)
+        self.terminated = set(names)
 
-    def log_confirmed(self, stamp: float) -> None:
+    def confirm_by_log(self, stamp: float) -> None:
         """Record that a read begun at ``stamp`` reached the end of the log."""
-        self.confirmed = max(self.confirmed, stamp)
+        self.confirmed_at = max(self.confirmed_at, stamp)
 
-    def taken(self, shard: str, epoch: int) -> bool:
+    def finish_takeover(self, shard: str, epoch: int) -> bool:
         """Record that the hosts were queried; return whether the claim is in force."""
-        holding = self.holdings.get(shard)
-        if holding is None or holding.epoch != epoch or holding.state != "taking":
+        shard_claim = self.shard_claims.get(shard)
+        if (
+            shard_claim is None
+            or shard_claim.epoch != epoch
+            or shard_claim.state != "taking"
+        ):
             return False
-        self._transition(holding, "taken")
+        self._transition(shard_claim, "taken")
         return True
 
     # Queries
 
-    def contests(self) -> list[str]:
+    def claimed_shards(self) -> list[str]:
         """Return the shards that this daemon has claimed or may have claimed."""
-        return [s for s, h in self.holdings.items() if h.state != "idle"]
+        return [s for s, h in self.shard_claims.items() if h.state != "idle"]
 
-    def admits(self) -> list[str]:
+    def required_peers(self) -> list[str]:
         """Return the daemons whose statements a confirmation by peers needs."""
         names = set(self.ledger.joined)
         names |= {m.name for m in self.members.members.values() if m.joined}
-        return sorted(names - {self.name} - self.gone)
+        return sorted(names - {self.name} - self.terminated)
 
-    def joined(self) -> bool:
+    def is_admitted(self) -> bool:
         """Return whether this incarnation has been admitted."""
         return self.ledger.joined.get(self.name) == self.incarnation
 
     def epoch(self, shard: str) -> int:
         """Return the epoch of this daemon's claim on a shard, 0 if it has none."""
-        holding = self.holdings.get(shard)
-        return holding.epoch if holding is not None else 0
+        shard_claim = self.shard_claims.get(shard)
+        return shard_claim.epoch if shard_claim is not None else 0
 
     def lease_until(self, shard: str) -> float:
         """Return the loop time at which the lease on a shard expires."""
-        return max(self.confirmed, self._peers_confirmed_at(shard)) + LEASE_TIME
+        return max(self.confirmed_at, self._peers_confirmed_at(shard)) + LEASE_TIME
 
     def may_place(self, shard: str, now: float) -> bool:
         """Return whether requests may be sent to the shard's hosts at ``now``.
@@ -224,7 +228,7 @@
         fenced = self.shards.get(shard, False)
         return self._holds_claim(shard) and (fenced or now < self.lease_until(shard))
 
-    def is_certain(self, shard: str, now: float) -> bool:
+    def may_start_tasks(self, shard: str, now: float) -> bool:
         """Return whether tasks may be started at ``now``.
 
         This needs an unexpired lease, also on hosts that refuse lower epochs: a
@@ -233,26 +237,26 @@
         return self._holds_claim(shard) and now < self.lease_until(shard)
 
     def _holds_claim(self, shard: str) -> bool:
-        holding = self.holdings.get(shard)
-        if holding is None or holding.state not in ("owning", "suspended"):
+        shard_claim = self.shard_claims.get(shard)
+        if shard_claim is None or shard_claim.state not in ("owning", "suspended"):
             return False
-        return not self._is_claim_lost(shard, holding)
+        return not self._is_claim_lost(shard, shard_claim)
 
     def _peers_confirmed_at(self, shard: str) -> float:
-        names = self.admits()
+        names = self.required_peers()
         if not names:
             return float("-inf")
         oldest = float("inf")
         for name in names:
             member = self.members.members.get(name)
-            if member is None or shard in member.contests:
+            if member is None or shard in member.claimed_shards:
                 return float("-inf")
             oldest = min(oldest, member.echoed_stamp)
         return oldest
 
-    def _is_claim_lost(self, shard: str, holding: Holding) -> bool:
+    def _is_claim_lost(self, shard: str, shard_claim: ShardClaim) -> bool:
         claim = self.ledger.claims.get(shard)
-        return claim is None or claim.epoch != holding.epoch
+        return claim is None or claim.epoch != shard_claim.epoch
 
     # Decisions
 
@@ -261,18 +265,18 @@
 
         Call this after each input, and every 0.1 s without one.
         """
-        if not self.ledger.whole:
+        if not self.ledger.is_complete:
             return []
         effects = self._request_admission(now)
         for shard in sorted(self.shards):
             effects += self._tick_shard(shard, now)
-        for shard in sorted(self.holdings.keys() - self.shards.keys()):
+        for shard in sorted(self.shard_claims.keys() - self.shards.keys()):
             effects += self._release_removed_shard(shard)
         return effects
 
     def _request_admission(self, now: float) -> list[OwnershipEffect]:
         if (
-            self.joined()
+            self.is_admitted()
             or self.draining
             or now < self._join_attempted_at + CLAIM_RETRY_INTERVAL
         ):
@@ -281,57 +285,61 @@
         return [Append(DaemonJoined(self.name, self.incarnation))]
 
     def _tick_shard(self, shard: str, now: float) -> list[OwnershipEffect]:
-        holding = self.holdings.get(shard)
-        if holding is None:
-            holding = self.holdings[shard] = Holding()
-        match holding.state:
+        shard_claim = self.shard_claims.get(shard)
+        if shard_claim is None:
+            shard_claim = self.shard_claims[shard] = ShardClaim()
+        match shard_claim.state:
             case "idle":
-                return self._tick_idle(shard, holding, now)
+                return self._tick_idle(shard, shard_claim, now)
             case "claiming":
-                return self._tick_claiming(shard, holding, now)
+                return self._tick_claiming(shard, shard_claim, now)
             case "waiting" | "taking":
-                return self._tick_waiting(shard, holding, now)
+                return self._tick_waiting(shard, shard_claim, now)
             case _:
-                return self._tick_owning(shard, holding, now)
+                return self._tick_owning(shard, shard_claim, now)
 
     def _tick_idle(
-        self, shard: str, holding: Holding, now: float
+        self, shard: str, shard_claim: ShardClaim, now: float
     ) -> list[OwnershipEffect]:
         claim = self.ledger.claims.get(shard)
-        if claim is not None and self._is_late_claim(claim, holding):
-            return self._adopt_late_claim(shard, holding, claim, now)
-        if now < holding.retry_at or self.draining or not self.joined():
+        if claim is not None and self._is_late_claim(claim, shard_claim):
+            return self._adopt_late_claim(shard, shard_claim, claim, now)
+        if now < shard_claim.retry_at or self.draining or not self.is_admitted():
             return []
         if self._preferred_owner(shard, claim, now) != self.name:
             return []
         if claim is not None and not self._may_replace(claim, now):
             return []
-        self._transition(holding, "claim")
-        holding.claimed_at = now
+        self._transition(shard_claim, "claim")
+        shard_claim.claimed_at = now
         replaces = claim.epoch if claim is not None else 0
         record = ClaimMade(shard, self.name, self.incarnation, replaces)
         return [Append(record)]
 
-    def _is_late_claim(self, claim: Claim, holding: Holding) -> bool:
+    def _is_late_claim(self, claim: Claim, shard_claim: ShardClaim) -> bool:
         """Return whether a claim that had timed out has reached the log after all."""
-        is_newer = claim.epoch > holding.epoch
+        is_newer = claim.epoch > shard_claim.epoch
         return self._is_mine(claim) and is_newer and not claim.released
 
     def _adopt_late_claim(
-        self, shard: str, holding: Holding, claim: Claim, now: float
+        self, shard: str, shard_claim: ShardClaim, claim: Claim, now: float
     ) -> list[OwnershipEffect]:
         if self.draining:
-            holding.epoch = claim.epoch
+            shard_claim.epoch = claim.epoch
             return [Append(ClaimReleased(shard, claim.epoch))]
-        self._transition(holding, "claim")
-        return self._tick_claiming(shard, holding, now)
+        self._transition(shard_claim, "claim")
+        return self._tick_claiming(shard, shard_claim, now)
 
     def _preferred_owner(self, shard: str, claim: Claim | None, now: float) -> str:
-        alive = self.members.alive(now)
+        alive_members = self.members.alive_members(now)
         is_held = claim is not None and not claim.released
-        if is_held and claim and any(member.name == claim.daemon for member in alive):
+        if (
+            is_held
+            and claim
+            and any(member.name == claim.daemon for member in alive_members)
+        ):
             return claim.daemon
-        names = [m.name for m in alive if m.joined and not m.draining]
+        names = [m.name for m in alive_members if m.joined and not m.draining]
         return rendezvous(shard, [*names, self.name])
 
     def _may_replace(self, claim: Claim, now: float) -> bool:
@@ -342,7 +350,11 @@
 
     def _has_stopped_placing(self, claim: Claim) -> bool:
         """Return whether the holder of a claim has certainly stopped placing work."""
-        if claim.released or claim.daemon in self.gone or claim.daemon == self.name:
+        if (
+            claim.released
+            or claim.daemon in self.terminated
+            or claim.daemon == self.name
+        ):
             return True
         member = self.members.members.get(claim.daemon)
         live_incarnation = member.incarnation if member is not None else 0
@@ -350,22 +362,22 @@
         return max(live_incarnation, joined) > claim.incarnation
 
     def _tick_claiming(
-        self, shard: str, holding: Holding, now: float
+        self, shard: str, shard_claim: ShardClaim, now: float
     ) -> list[OwnershipEffect]:
         claim = self.ledger.claims.get(shard)
         is_mine = claim is not None and self._is_mine(claim)
-        if claim is not None and is_mine and claim.epoch > holding.epoch:
-            self._transition(holding, "confirmed")
-            holding.epoch = claim.epoch
-            holding.takeover_at = (
+        if claim is not None and is_mine and claim.epoch > shard_claim.epoch:
+            self._transition(shard_claim, "confirmed")
+            shard_claim.epoch = claim.epoch
+            shard_claim.takeover_at = (
                 now
                 if self._have_replaced_holders_stopped(shard)
                 else now + _TAKEOVER_DELAY
             )
-            return self._tick_waiting(shard, holding, now)
-        if now - holding.claimed_at >= CLAIM_RETRY_INTERVAL:
-            self._transition(holding, "lost")
-            holding.retry_at = now
+            return self._tick_waiting(shard, shard_claim, now)
+        if now - shard_claim.claimed_at >= CLAIM_RETRY_INTERVAL:
+            self._transition(shard_claim, "lost")
+            shard_claim.retry_at = now
         return []
 
     def _is_mine(self, claim: Claim) -> bool:
@@ -377,37 +389,39 @@
         )
 
     def _tick_waiting(
-        self, shard: str, holding: Holding, now: float
+        self, shard: str, shard_claim: ShardClaim, now: float
     ) -> list[OwnershipEffect]:
-        if self._is_claim_lost(shard, holding):
-            return self._drop_lost_claim(shard, holding, now)
-        if holding.state == "waiting" and self._have_replaced_holders_stopped(shard):
-            holding.takeover_at = min(holding.takeover_at, now)
-        if holding.state == "waiting" and now >= holding.takeover_at:
-            self._transition(holding, "ready")
-            return [TakeShard(shard, holding.epoch)]
+        if self._is_claim_lost(shard, shard_claim):
+            return self._drop_lost_claim(shard, shard_claim, now)
+        if shard_claim.state == "waiting" and self._have_replaced_holders_stopped(
+            shard
+        ):
+            shard_claim.takeover_at = min(shard_claim.takeover_at, now)
+        if shard_claim.state == "waiting" and now >= shard_claim.takeover_at:
+            self._transition(shard_claim, "ready")
+            return [TakeOverShard(shard, shard_claim.epoch)]
         return []
 
     def _drop_lost_claim(
-        self, shard: str, holding: Holding, now: float
+        self, shard: str, shard_claim: ShardClaim, now: float
     ) -> list[OwnershipEffect]:
-        self._transition(holding, "lost")
-        holding.retry_at = now + LEASE_TIME
+        self._transition(shard_claim, "lost")
+        shard_claim.retry_at = now + LEASE_TIME
         return [DropShard(shard)]
 
     def _tick_owning(
-        self, shard: str, holding: Holding, now: float
+        self, shard: str, shard_claim: ShardClaim, now: float
     ) -> list[OwnershipEffect]:
-        if self._is_claim_lost(shard, holding):
-            return self._drop_lost_claim(shard, holding, now)
+        if self._is_claim_lost(shard, shard_claim):
+            return self._drop_lost_claim(shard, shard_claim, now)
         if self._should_release(shard, now):
-            return self._release_shard(shard, holding)
+            return self._release_shard(shard, shard_claim)
         certain = now < self.lease_until(shard)
-        if not certain and holding.state == "owning":
-            self._transition(holding, "doubt")
+        if not certain and shard_claim.state == "owning":
+            self._transition(shard_claim, "doubt")
             return [SuspendShard(shard)]
-        if certain and holding.state == "suspended":
-            self._transition(holding, "renewed")
+        if certain and shard_claim.state == "suspended":
+            self._transition(shard_claim, "renewed")
             return [ResumeShard(shard)]
         return []
 
@@ -416,31 +430,33 @@
             return True
         candidates = [
             member.name
-            for member in self.members.alive(now)
+            for member in self.members.alive_members(now)
             if member.joined
             and not member.draining
             and self.members.is_stable(member.name, now)
         ]
         preferred = rendezvous(shard, [*candidates, self.name])
-        if preferred == self.name or now - self.confirmed > LEASE_TIME:
+        if preferred == self.name or now - self.confirmed_at > LEASE_TIME:
             self._misplaced_since.pop(shard, None)
             return False
         misplaced_since = self._misplaced_since.setdefault(shard, now)
         return now - misplaced_since >= HANDOVER_DELAY
 
-    def _release_shard(self, shard: str, holding: Holding) -> list[OwnershipEffect]:
-        self._transition(holding, "release")
+    def _release_shard(
+        self, shard: str, shard_claim: ShardClaim
+    ) -> list[OwnershipEffect]:
+        self._transition(shard_claim, "release")
         self._misplaced_since.pop(shard, None)
-        return [ReleaseShard(shard, holding.epoch)]
+        return [ReleaseShard(shard, shard_claim.epoch)]
 
     def _release_removed_shard(self, shard: str) -> list[OwnershipEffect]:
-        holding = self.holdings.pop(shard)
-        if holding.state in ("owning", "suspended", "taking"):
-            return [ReleaseShard(shard, holding.epoch)]
+        shard_claim = self.shard_claims.pop(shard)
+        if shard_claim.state in ("owning", "suspended", "taking"):
+            return [ReleaseShard(shard, shard_claim.epoch)]
         return []
 
-    def _transition(self, holding: Holding, event: str) -> None:
-        holding.state = self._chart.next(holding.state, event)
+    def _transition(self, shard_claim: ShardClaim, event: str) -> None:
+        shard_claim.state = self._chart.next_state(shard_claim.state, event)
 
 
 # Seconds between the confirmation of a claim and the takeover of the shard, by which
--- a/siskinroad/scheduler.py
+++ b/siskinroad/scheduler.py
@@ -18,16 +18,16 @@
 from siskinroad.health import Verdict
 from siskinroad.names import AttemptName, split_task
 from siskinroad.placement import HostView
-from siskinroad.pressure import Pressure, UsageReport
+from siskinroad.preemption import Preemption, UsageReport
 from siskinroad.queues import Item, Lane
 from siskinroad.shard import Shard, milliseconds
 from siskinroad.upstreams import Control, Usage
 
-__all__ = ["TICK_TIME", "Scheduler"]
+__all__ = ["TICK_INTERVAL", "Scheduler"]
 
 # Seconds between two calls of ``tick``. It bounds how late a deadline, the end of a
 # backoff or the end of a quarantine is noticed.
-TICK_TIME = 0.25
+TICK_INTERVAL = 0.25
 
 
 class Scheduler:
@@ -44,7 +44,7 @@
 
     Attributes
     ----------
-    paused : bool
+    is_paused : bool
         Whether starts are suspended; everything else continues.
     requests_only : bool
         Whether only requests may start.
@@ -54,8 +54,8 @@
         self.shard = Shard(cell, rng, now)
         self.attempts = Attempts(self.shard)
         self.dispatcher = Dispatcher(self.shard, self.attempts)
-        self.pressure = Pressure(self.shard, self.attempts)
-        self.paused = False
+        self.preemption = Preemption(self.shard, self.attempts)
+        self.is_paused = False
         self._chart = load_chart("attempt")
         self._host_chart = load_chart("upstream")
 
@@ -88,11 +88,11 @@
         if view is None or not self._host_chart.allows(view.state, event):
             return []
         before = view.state
-        view.state = self._host_chart.next(before, event)
+        view.state = self._host_chart.next_state(before, event)
         if view.state == before:
             return []
-        view.open = view.state in ("live", "probation")
-        limit = self.shard.limits[name].whole
+        view.is_open = view.state in ("live", "probation")
+        limit = self.shard.limits[name].whole_tasks
         view.limit = 1 if view.state == "probation" else limit
         self.shard.pool_state(name).index.refresh(view)
         self.shard.update_capacity(now)
@@ -105,7 +105,7 @@
         effects: list[Effect] = []
         for task in list(view.tasks) if view else []:
             key, member = split_task(task)
-            effects += self.ended(key, member, End.LOST, now)
+            effects += self.record_attempt_end(key, member, End.LOST, now)
         return effects
 
     def remove_host(self, name: str, now: float) -> list[Effect]:
@@ -126,7 +126,7 @@
         """Queue an item, or refuse it if it fails the admission checks."""
         refusal = self._admission_refusal(item, now)
         if refusal is not None:
-            item.state = self._chart.next(item.state, "refuse")
+            item.state = self._chart.next_state(item.state, "refuse")
             return [Refused(item, refusal)]
         if item.workload.kind == "service":
             self.shard.budget(item.workload.owner).earn()
@@ -136,42 +136,44 @@
         """Queue an item that was accepted before, without admission checks."""
         self.shard.items[item.key] = item
         lane = self.shard.waiting.push(item)
-        effects = [] if lane.blocked else self._dispatch(now)
+        effects = [] if lane.is_blocked else self._dispatch(now)
         if item.workload.urgency is not Urgency.URGENT:
             return effects
         state = self.shard.pools.get(item.workload.pool)
         if state is None:
             return effects
         state.headroom.count_arrival(now)
-        if item.state == "waiting" and not self.paused:
-            effects += self.pressure.preempt_for_urgent(state)
+        if item.state == "waiting" and not self.is_paused:
+            effects += self.preemption.preempt_for_urgent(state)
         return effects
 
     def _admission_refusal(self, item: Item, now: float) -> Refusal | None:
         workload = item.workload
         if item.key in self.shard.items:
             return Refusal(Reason.KEY_IN_PROGRESS, step="submit")
-        reason = self.why_never(workload)
+        reason = self.never_runnable_reason(workload)
         if reason:
             return Refusal(Reason.CAN_NEVER_RUN, step="submit", message=reason)
         lane = self.shard.waiting.lane(workload)
         if lane.live >= workload.queue_limit:
             return Refusal(Reason.QUEUE_FULL, step="submit", retry_after=1.0)
-        if not self.shard.door.admits(len(self.shard.items), workload.urgency):
+        if not self.shard.admission_limit.admits(
+            len(self.shard.items), workload.urgency
+        ):
             return Refusal(Reason.SHED, step="submit", retry_after=5.0)
         wait = lane.expected_wait(now)
         if now + wait > item.deadline:
             return Refusal(Reason.DEADLINE, step="submit", retry_after=wait)
         return None
 
-    def why_never(self, workload: Workload) -> str:
+    def never_runnable_reason(self, workload: Workload) -> str:
         """Return why a workload can never run in this shard, or an empty string."""
         state = self.shard.pools.get(workload.pool)
         if state is None:
             return f"no host of {workload.pool} belongs to this shard"
         if not workload.demand.fits(state.pool.capacity):
             return f"one task needs more than a whole host of {workload.pool}"
-        per_host = HostView("", "", state.pool.capacity).count(workload.demand)
+        per_host = HostView("", "", state.pool.capacity).count_fitting(workload.demand)
         max_members = per_host * len(state.index.hosts)
         if workload.size > max_members:
             return (
@@ -194,16 +196,16 @@
             return [self._refuse_waiting(item, refusal, event="cancel")]
         if not self._chart.allows(item.state, "cancel"):
             return []
-        item.state = self._chart.next(item.state, "cancel")
+        item.state = self._chart.next_state(item.state, "cancel")
         run = self.shard.running[key]
-        run.stopping = True
+        run.is_stopping = True
         return self.attempts.control(run, Control.STOP)
 
     def _refuse_waiting(
         self, item: Item, refusal: Refusal, event: str = "refuse"
     ) -> Refused:
-        is_backing_off = item.hold_until > 0
-        item.state = self._chart.next(item.state, event)
+        is_backing_off = item.backoff_until > 0
+        item.state = self._chart.next_state(item.state, event)
         del self.shard.items[item.key]
         if is_backing_off:
             self.attempts.drop_backing_off(item)
@@ -217,11 +219,11 @@
         """Adopt a task that already runs on a host of the shard."""
         return self.attempts.adopt(item, name, host, now)
 
-    def started(self, key: str) -> None:
+    def record_attempt_start(self, key: str) -> None:
         """Record that the host has confirmed the start of an item."""
-        self.attempts.started(key)
+        self.attempts.record_attempt_start(key)
 
-    def ended(
+    def record_attempt_end(
         self,
         key: str,
         member: int,
@@ -231,7 +233,9 @@
         usage: Usage | None = None,
     ) -> list[Effect]:
         """Record that one member's task has ended on its host."""
-        view, effects = self.attempts.ended(key, member, end, now, run_time, usage)
+        view, effects = self.attempts.record_attempt_end(
+            key, member, end, now, run_time, usage
+        )
         effects += self._apply_pending_verdicts(now)
         if view is None:
             return effects
@@ -247,16 +251,18 @@
             effects += self.host_event(verdict.host, verdict.event, now)
         return effects
 
-    def usage(self, host: str, reports: list[UsageReport], now: float) -> list[Effect]:
+    def apply_usage(
+        self, host: str, reports: list[UsageReport], now: float
+    ) -> list[Effect]:
         """Process a host's usage report, which lags behind the actual usage."""
-        effects = self.pressure.usage(host, reports)
+        effects = self.preemption.apply_usage(host, reports)
         view = self.shard.view(host)
         return effects + (self._use_free_capacity(view, now) if view else [])
 
     # Time
 
     def tick(self, now: float) -> list[Effect]:
-        """Handle everything that falls due; call this every ``TICK_TIME`` seconds."""
+        """Handle everything that falls due; call every ``TICK_INTERVAL`` seconds."""
         effects: list[Effect] = []
         for item in self.shard.waiting.expired(now):
             refusal = Refusal(Reason.DEADLINE, step="queue", retry_after=1.0)
@@ -266,24 +272,24 @@
         self.shard.accounts.tick(milliseconds(now))
         self.dispatcher.unblock_some()
         effects += self._dispatch(now)
-        if not self.paused:
+        if not self.is_paused:
             effects += self._preempt(now)
         return effects
 
     def _preempt(self, now: float) -> list[Effect]:
         effects: list[Effect] = []
         for state in self.shard.pools.values():
-            effects += self.pressure.preempt_for_urgent(state)
-        return effects + self.pressure.reclaim_shares(now)
+            effects += self.preemption.preempt_for_urgent(state)
+        return effects + self.preemption.reclaim_shares(now)
 
-    def next_time(self) -> float:
+    def next_tick_time(self) -> float:
         """Return the loop time of the next deadline or end of a backoff."""
         deadline = self.shard.waiting.next_deadline()
         return min(deadline, self.attempts.next_backoff_end(), math.inf)
 
     def resume(self, now: float) -> list[Effect]:
-        """Allow starts again after ``paused`` or ``requests_only`` was set."""
-        self.paused = False
+        """Allow starts again after ``is_paused`` or ``requests_only`` was set."""
+        self.is_paused = False
         self.requests_only = False
         self.dispatcher.unblock_all()
         return self._dispatch(now)
@@ -298,10 +304,10 @@
         self.dispatcher.requests_only = value
 
     def _use_free_capacity(self, view: HostView, now: float) -> list[Effect]:
-        if self.paused:
+        if self.is_paused:
             return []
-        filled = list(self.dispatcher.fill(view, now)) if view.open else []
+        filled = list(self.dispatcher.fill(view, now)) if view.is_open else []
         return filled + self._dispatch(now)
 
     def _dispatch(self, now: float) -> list[Effect]:
-        return [] if self.paused else list(self.dispatcher.dispatch(now))
+        return [] if self.is_paused else list(self.dispatcher.dispatch(now))
--- a/siskinroad/shards.py
+++ b/siskinroad/shards.py
@@ -1,4 +1,4 @@
-"""The shards that this daemon owns, from take-over to release."""
+"""Shards owned by this daemon, from takeover to release."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from siskinroad.appender import Appender
 from siskinroad.cell import Cell, Host, Workload
 from siskinroad.errors import Reason, Refusal
-from siskinroad.front import Request
-from siskinroad.keys import KeyGuard
+from siskinroad.idempotency import IdempotencyGuard
 from siskinroad.ledger import Ledger
-from siskinroad.messages import ShardNews
+from siskinroad.messages import ShardUpdate
 from siskinroad.metrics import Metrics
 from siskinroad.owner import ShardOwner
+from siskinroad.owner_context import OwnerPorts
 from siskinroad.ownership import (
     Append,
     DropShard,
@@ -25,9 +25,8 @@
     ReleaseShard,
     ResumeShard,
     SuspendShard,
-    TakeShard,
+    TakeOverShard,
 )
-from siskinroad.ownerview import OwnerPorts
 from siskinroad.platform import HostState
 from siskinroad.records import (
     ClaimReleased,
@@ -36,26 +35,30 @@
     Record,
     TasksEnded,
 )
+from siskinroad.request_handler import Request
 from siskinroad.routing import Place, ShardLoad
-from siskinroad.upstreams import Answer, Upstreams
+from siskinroad.upstreams import UpstreamClient, UpstreamResponse
 
-__all__ = ["ShardSet"]
+__all__ = ["OwnedShards"]
 
-CLAIM_TIME = 2.0
-FOREVER = float("inf")
+# Seconds after which the append of a claim record fails; the record may be stored
+# nevertheless.
+CLAIM_APPEND_TIMEOUT = 2.0
+# For records that must be stored however long the log is unavailable.
+NO_TIMEOUT = float("inf")
 
 log = logging.getLogger("siskinroad.shards")
 
 
-class ShardSet:
-    """Carries out what ``Ownership`` decides.
+class OwnedShards:
+    """Owners of the shards, kept in line with the decisions of ``Ownership``.
 
     Parameters
     ----------
     appender : Appender
-        Of the data centre's stream.
-    guard : KeyGuard
-        Runs keyed requests.
+        Appender of the data centre's log stream.
+    guard : IdempotencyGuard
+        Idempotency guard that runs requests with a key.
     """
 
     def __init__(
@@ -64,8 +67,8 @@
         ownership: Ownership,
         ledger: Ledger,
         appender: Appender,
-        guard: KeyGuard,
-        upstreams: Upstreams,
+        guard: IdempotencyGuard,
+        upstreams: UpstreamClient,
         metrics: Metrics,
         rng: random.Random,
     ) -> None:
@@ -80,7 +83,7 @@
         self.cell: Cell | None = None
         self.owners: dict[str, ShardOwner] = {}
         self.retiring: set[ShardOwner] = set()
-        self.listed: dict[str, HostState] = {}
+        self.host_list: dict[str, HostState] = {}
         self._hosts: dict[str, list[Host]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._sequence = 0
@@ -91,17 +94,17 @@
     def _spawn(self, coro: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(coro)
         self._tasks.add(task)
-        task.add_done_callback(self._reap)
+        task.add_done_callback(self._on_task_done)
 
-    def _reap(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("shards: a step failed", exc_info=task.exception())
+            log.error("shards: background task failed", exc_info=task.exception())
 
-    # Configuration, list and records
+    # Configuration, host list and records
 
     def configure(self, cell: Cell) -> None:
-        """Put a configuration in force."""
+        """Apply a cell configuration to every owned shard."""
         self.cell = cell
         self._hosts = cell.shards(self.place.data_centre)
         fencing = {
@@ -112,19 +115,21 @@
         for shard, owner in self.owners.items():
             if shard in self._hosts:
                 owner.configure(cell, self._hosts[shard])
-                self._apply_list(owner)
+                self._apply_host_list(owner)
 
-    def set_listed(self, listed: dict[str, HostState]) -> None:
-        """Take the platform's list of the data centre's hosts."""
-        self.listed = listed
-        gone = {name for name, state in listed.items() if state is HostState.GONE}
-        self.ownership.set_gone(gone)
+    def set_host_list(self, host_list: dict[str, HostState]) -> None:
+        """Apply the platform's list of the data centre's hosts."""
+        self.host_list = host_list
+        terminated = {
+            name for name, state in host_list.items() if state is HostState.GONE
+        }
+        self.ownership.set_terminated(terminated)
         for owner in self.owners.values():
-            self._apply_list(owner)
+            self._apply_host_list(owner)
 
-    def _apply_list(self, owner: ShardOwner) -> None:
-        for name in owner.watches:
-            match self.listed.get(name):
+    def _apply_host_list(self, owner: ShardOwner) -> None:
+        for name in owner.monitors:
+            match self.host_list.get(name):
                 case HostState.LEAVING:
                     owner.host_event(name, "leave")
                 case HostState.GONE:
@@ -132,8 +137,8 @@
                 case HostState.LIVE:
                     owner.host_event(name, "rejoin")
 
-    def hear_records(self, records: list[Record]) -> None:
-        """Act on records that the ledger has just applied."""
+    def apply_records(self, records: list[Record]) -> None:
+        """Pass job records that the ledger has just applied to the owners."""
         for record in records:
             match record:
                 case JobAccepted() if record.shard in self.owners:
@@ -144,8 +149,8 @@
                     if shard in self.owners:
                         self.owners[shard].tasks.cancel(record.job)
 
-    def hear_snapshot(self) -> None:
-        """Take up the jobs that a snapshot has brought to the ledger."""
+    def apply_snapshot(self) -> None:
+        """Pass the jobs that the ledger took from a snapshot to the owners."""
         for state in list(self.ledger.jobs.values()):
             owner = self.owners.get(state.accepted.shard)
             if owner is None:
@@ -157,16 +162,16 @@
     # Ownership
 
     def tick(self) -> None:
-        """Carry out what ownership asks for now."""
+        """Carry out the ownership decisions that are due."""
         for effect in self.ownership.tick(self._now()):
             self._carry_out(effect)
 
     def _carry_out(self, effect: OwnershipEffect) -> None:
         match effect:
             case Append(record=record):
-                self.appender.put(record, CLAIM_TIME)
-            case TakeShard():
-                self._spawn(self._take(effect))
+                self.appender.append(record, CLAIM_APPEND_TIMEOUT)
+            case TakeOverShard():
+                self._spawn(self._take_over(effect))
             case SuspendShard(shard=shard):
                 self._count("suspend")
                 if shard in self.owners:
@@ -174,7 +179,7 @@
                     self.owners[shard].suspend(requests=fenced)
             case ResumeShard(shard=shard):
                 self._count("resume")
-                if shard in self.owners and not self.owners[shard].stale:
+                if shard in self.owners and not self.owners[shard].is_stale:
                     self.owners[shard].resume()
             case ReleaseShard():
                 self._spawn(self._release(effect))
@@ -185,54 +190,54 @@
     def _count(self, event: str) -> None:
         self.metrics.claims.labels(event).inc()
 
-    async def _take(self, effect: TakeShard) -> None:
+    async def _take_over(self, effect: TakeOverShard) -> None:
         shard = effect.shard
         hosts = self._hosts.get(shard)
         if self.cell is None or hosts is None:
             return
         self._drop(shard)
-        ports = self._ports(shard)
+        ports = self._make_ports(shard)
         owner = ShardOwner(shard, effect.epoch, self.cell, hosts, ports)
         self.owners[shard] = owner
-        self._apply_list(owner)
+        self._apply_host_list(owner)
         homed = self.ledger.jobs.values()
         owner.tasks.restore([state for state in homed if state.accepted.shard == shard])
-        await owner.take()
+        await owner.take_over()
         if self.owners.get(shard) is not owner:
             return
-        if not self.ownership.taken(shard, effect.epoch):
+        if not self.ownership.finish_takeover(shard, effect.epoch):
             self._drop(shard)
             return
         owner.resume()
         self._count("take")
-        log.info("shards: took %s at epoch %d", shard, effect.epoch)
+        log.info("shards: took over shard %s at epoch %d", shard, effect.epoch)
 
-    def _ports(self, shard: str) -> OwnerPorts:
+    def _make_ports(self, shard: str) -> OwnerPorts:
         return OwnerPorts(
             self.upstreams,
             lambda: self.ownership.may_place(shard, self._now()),
-            lambda: self.ownership.is_certain(shard, self._now()),
+            lambda: self.ownership.may_start_tasks(shard, self._now()),
             self._record_end,
-            self._count_owner,
-            self._note_wait,
+            self._count_owner_event,
+            self._observe_wait,
             self.rng,
         )
 
     def _record_end(self, job: str, index: int, outcome: str) -> asyncio.Future[int]:
-        return self.appender.put(TasksEnded(job, [index], outcome), FOREVER)
+        return self.appender.append(TasksEnded(job, [index], outcome), NO_TIMEOUT)
 
-    def _count_owner(self, name: str, label: str) -> None:
+    def _count_owner_event(self, name: str, label: str) -> None:
         match name:
             case "retry":
                 self.metrics.retries.labels(label).inc()
             case "control":
-                self.metrics.controls.labels(label).inc()
+                self.metrics.task_controls.labels(label).inc()
             case _:
-                self.metrics.hosts.labels(label).inc()
+                self.metrics.host_events.labels(label).inc()
 
-    def _note_wait(self, workload: Workload, seconds: float) -> None:
+    def _observe_wait(self, workload: Workload, seconds: float) -> None:
         urgency = workload.urgency.name.lower()
-        self.metrics.waited.labels(urgency, workload.owner).observe(seconds)
+        self.metrics.wait_seconds.labels(urgency, workload.owner).observe(seconds)
 
     async def _release(self, effect: ReleaseShard) -> None:
         owner = self.owners.get(effect.shard)
@@ -240,8 +245,8 @@
             await owner.release()
         self._drop(effect.shard)
         self._count("release")
-        self.appender.put(ClaimReleased(effect.shard, effect.epoch), FOREVER)
-        log.info("shards: released %s", effect.shard)
+        self.appender.append(ClaimReleased(effect.shard, effect.epoch), NO_TIMEOUT)
+        log.info("shards: released shard %s at epoch %d", effect.shard, effect.epoch)
 
     def _drop(self, shard: str) -> None:
         owner = self.owners.pop(shard, None)
@@ -252,33 +257,36 @@
         self._spawn(self._retire(owner))
 
     async def _retire(self, owner: ShardOwner) -> None:
-        await owner.idle()
+        await owner.wait_idle()
         self.retiring.discard(owner)
 
     # Requests
 
-    async def run(self, shard: str, req: Request) -> Answer:
-        """Run a request on an owned shard.
+    async def run(self, shard: str, req: Request) -> UpstreamResponse:
+        """Run a caller's request on an owned shard.
 
         Raises
         ------
         Refusal
-            ``NO_OWNER`` or ``OWNERSHIP_IN_DOUBT`` if it cannot run here.
+            ``NO_OWNER`` if this daemon does not own the shard,
+            ``OWNERSHIP_UNCERTAIN`` if its ownership is uncertain.
         """
         owner = self.owners.get(shard)
         if owner is None:
             raise Refusal(Reason.NO_OWNER, step="owner", retry_after=0.5)
         if not self.ownership.may_place(shard, self._now()):
-            raise Refusal(Reason.OWNERSHIP_IN_DOUBT, step="owner", retry_after=2.0)
+            raise Refusal(Reason.OWNERSHIP_UNCERTAIN, step="owner", retry_after=2.0)
         if req.key:
             name = req.workload.name
             return await self.guard.run(
-                req.key, name, req.body, lambda: self._queue(owner, req)
+                req.key, name, req.body, lambda: self._submit_request(owner, req)
             )
-        return await self._queue(owner, req)
+        return await self._submit_request(owner, req)
 
-    async def _queue(self, owner: ShardOwner, req: Request) -> Answer:
-        key = f"r{self.appender.writer}-{self._next()}"
+    async def _submit_request(
+        self, owner: ShardOwner, req: Request
+    ) -> UpstreamResponse:
+        key = f"r{self.appender.writer}-{self._next_sequence()}"
         fut = owner.requests.submit(key, req.workload, req.path, req.body, req.deadline)
         try:
             return await fut
@@ -286,44 +294,44 @@
             owner.requests.cancel(key)
             raise
 
-    def _next(self) -> int:
+    def _next_sequence(self) -> int:
         self._sequence += 1
         return self._sequence
 
-    # News
+    # Updates for peers and routing
 
-    def news(self) -> list[ShardNews]:
-        """Return what peers should know of the owned shards."""
+    def shard_updates(self) -> list[ShardUpdate]:
+        """Return an update for peers on each owned shard that accepts work."""
         return [
-            ShardNews(shard, owner.epoch, owner.free_slots(), owner.waits())
+            ShardUpdate(shard, owner.epoch, owner.free_slots(), owner.expected_waits())
             for shard, owner in self.owners.items()
-            if not owner.scheduler.paused
+            if not owner.scheduler.is_paused
         ]
 
     def loads(self) -> list[ShardLoad]:
-        """Return the owned shards as routing sees them."""
+        """Return the loads of the owned shards for routing."""
         now = self._now()
         return [
             ShardLoad(
-                news.shard,
-                news.shard.partition("/")[0],
+                update.shard,
+                update.shard.partition("/")[0],
                 self.ownership.name,
                 self.place,
-                news.free,
-                news.waits,
+                update.free,
+                update.waits,
                 now,
             )
-            for news in self.news()
+            for update in self.shard_updates()
         ]
 
     @property
-    def busy(self) -> int:
-        """Requests in the hands of all owners, retiring ones included."""
+    def request_count(self) -> int:
+        """Number of requests queued or in progress, including at retiring owners."""
         owners = [*self.owners.values(), *self.retiring]
         return sum(len(owner.requests) for owner in owners)
 
     def close(self) -> None:
-        """Stop everything at once."""
+        """Close every owner and cancel all background tasks without a release."""
         for shard in list(self.owners):
             self._drop(shard)
         for task in list(self._tasks):
--- a/siskinroad/status.py
+++ b/siskinroad/status.py
@@ -1,4 +1,4 @@
-"""What operators are shown: status, queues, explanations, the report."""
+"""Views for operators: status, queues, explanations of tasks and the usage report."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 import msgspec
 
 from siskinroad.accounts import Accounts, OwnerSpan
-from siskinroad.daemonview import DaemonView
+from siskinroad.daemon_context import DaemonContext
 from siskinroad.dispatch import blocked_reason
 from siskinroad.owner import ShardOwner
 from siskinroad.queues import Item
@@ -18,15 +18,18 @@
     "QueueLine",
     "Report",
     "ReportLine",
+    "build_report",
+    "build_status",
     "explain",
-    "queue_of",
-    "report_of",
-    "status_of",
+    "list_queue",
 ]
 
 
 class ShardStatus(msgspec.Struct, frozen=True):
-    """One shard of the data centre as this daemon sees it."""
+    """State of one shard of the data centre, as known to this daemon.
+
+    ``hosts`` has the number of hosts in each state.
+    """
 
     shard: str
     owner: str
@@ -38,7 +41,10 @@
 
 
 class DaemonStatus(msgspec.Struct, frozen=True):
-    """One daemon and the shards of its data centre."""
+    """State of one daemon and of the shards of its data centre.
+
+    ``log`` is ``up``, ``unreachable`` or why reading has stopped.
+    """
 
     daemon: str
     data_centre: str
@@ -54,7 +60,7 @@
 
 
 class QueueLine(msgspec.Struct, frozen=True):
-    """One lane; times in seconds."""
+    """Queue of one workload at one shard; times in seconds."""
 
     shard: str
     workload: str
@@ -67,7 +73,7 @@
 
 
 class ReportLine(msgspec.Struct, frozen=True):
-    """One owner's part, in hours of processors, GiB and accelerators."""
+    """Usage of one owner, in hours of processors, GiB and accelerators."""
 
     owner: str
     used: list[float]
@@ -77,44 +83,51 @@
 
 
 class Report(msgspec.Struct, frozen=True):
-    """Use and idle cost by owner; the columns sum to the capacity exactly."""
+    """Used and idle capacity by owner.
+
+    ``exact`` says whether used and idle sum exactly to the capacity.
+    """
 
     capacity: list[float]
     lines: list[ReportLine]
     exact: bool
 
 
-def _now() -> float:
+def _loop_time() -> float:
     return asyncio.get_running_loop().time()
 
 
-def status_of(daemon: DaemonView) -> DaemonStatus:
-    """Return a daemon's status."""
-    now = _now()
-    stopped = [s.stopped for s in daemon.feed.streams.values() if s.stopped]
-    log = "up" if daemon.feed.reachable(now) else "unreachable"
+def build_status(daemon: DaemonContext) -> DaemonStatus:
+    """Return the status of a daemon."""
+    now = _loop_time()
+    stop_reasons = [
+        s.stop_reason for s in daemon.log_reader.streams.values() if s.stop_reason
+    ]
+    log = "up" if daemon.log_reader.is_reachable(now) else "unreachable"
     shards = [_shard_status(daemon, shard) for shard in sorted(daemon.ownership.shards)]
     return DaemonStatus(
         daemon.cfg.name,
         daemon.cfg.data_centre,
         daemon.state,
         daemon.configuration.revision,
-        "; ".join(stopped) or log,
-        daemon.members.reader(now),
-        sorted(m.name for m in daemon.members.alive(now)),
-        daemon.ownership.admits(),
+        "; ".join(stop_reasons) or log,
+        daemon.members.log_reader_name(now),
+        sorted(m.name for m in daemon.members.alive_members(now)),
+        daemon.ownership.required_peers(),
         sorted(
-            m.name for m in daemon.members.alive(now) if daemon.cfg.name in m.admits
+            m.name
+            for m in daemon.members.alive_members(now)
+            if daemon.cfg.name in m.admits
         ),
         sorted(daemon.load_table.revisions),
         shards,
     )
 
 
-def _shard_status(daemon: DaemonView, shard: str) -> ShardStatus:
+def _shard_status(daemon: DaemonContext, shard: str) -> ShardStatus:
     owner = daemon.shards.owners.get(shard)
     claim = daemon.ledger.claims.get(shard)
-    holding = daemon.ownership.holdings.get(shard)
+    shard_claim = daemon.ownership.shard_claims.get(shard)
     held = claim is not None and not claim.released
     name = claim.daemon if claim is not None and held else ""
     hosts: dict[str, int] = {}
@@ -125,7 +138,7 @@
     return ShardStatus(
         shard,
         name,
-        holding.state if holding else "idle",
+        shard_claim.state if shard_claim else "idle",
         owner.epoch,
         len(owner.scheduler.shard.waiting),
         len(owner.scheduler.shard.running),
@@ -133,8 +146,8 @@
     )
 
 
-def queue_of(daemon: DaemonView) -> list[QueueLine]:
-    """Return the lanes in which work waits at this daemon."""
+def list_queue(daemon: DaemonContext) -> list[QueueLine]:
+    """Return the workloads that have waiting work at this daemon's shards."""
     lines = []
     for shard, owner in sorted(daemon.shards.owners.items()):
         for lane in owner.scheduler.shard.waiting.lanes.values():
@@ -145,7 +158,7 @@
 
 
 def _queue_line(shard: str, owner: ShardOwner, head: Item) -> QueueLine:
-    now = _now()
+    now = _loop_time()
     state = owner.scheduler.shard
     lane = state.waiting.lanes[head.workload.name]
     return QueueLine(
@@ -156,20 +169,26 @@
         lane.live,
         round(now - head.enqueued, 3),
         round(lane.expected_wait(now), 3),
-        blocked_reason(state, head) if lane.blocked else "",
+        blocked_reason(state, head) if lane.is_blocked else "",
     )
 
 
-def explain(daemon: DaemonView, key: str) -> str:
-    """Return in a sentence why a task waits, or where it runs or ran."""
+def explain(daemon: DaemonContext, key: str) -> str:
+    """Explain in one sentence why a task waits, where it runs or how it ended.
+
+    Parameters
+    ----------
+    key : str
+        Key of a request, or ``JOB/INDEX`` of a task.
+    """
     for owner in daemon.shards.owners.values():
-        text = _explain_here(owner, key)
+        text = _explain_local(owner, key)
         if text:
             return text
     job, _, index = key.rpartition("/")
     state = daemon.ledger.jobs.get(job or key)
     if state is None:
-        return f"{key} is not known in {daemon.cfg.data_centre}."
+        return f"{key} is unknown in {daemon.cfg.data_centre}."
     shard = state.accepted.shard
     if index.isdecimal() and int(index) in state.ended:
         return f"{key} has ended: {state.ended[int(index)]}."
@@ -178,34 +197,39 @@
     return f"{key} belongs to shard {shard}, which {owner_name} owns; ask there."
 
 
-def _explain_here(owner: ShardOwner, key: str) -> str:
+def _explain_local(owner: ShardOwner, key: str) -> str:
     state = owner.scheduler.shard
     run = state.running.get(key)
     if run is not None:
         hosts = ", ".join(sorted(set(run.hosts.values())))
-        seconds = _now() - run.started
-        return f"{key} runs on {hosts} for {seconds:.1f} s, try {run.item.tries}."
+        seconds = _loop_time() - run.started
+        return (
+            f"{key} has run on {hosts} for {seconds:.1f} s, attempt {run.item.tries}."
+        )
     item = state.items.get(key)
     if item is None:
         return ""
-    waited = _now() - item.enqueued
-    if owner.scheduler.paused:
-        why = "the daemon is not certain that it still owns the hosts"
-    elif item.hold_until > 0:
-        why = f"it failed and is tried again in {item.hold_until - _now():.1f} s"
+    waited = _loop_time() - item.enqueued
+    if owner.scheduler.is_paused:
+        why = "it is uncertain whether this daemon still owns the hosts"
+    elif item.backoff_until > 0:
+        why = (
+            "it failed and will be retried in "
+            f"{item.backoff_until - _loop_time():.1f} s"
+        )
     else:
         why = blocked_reason(state, item)
     return f"{key} has waited {waited:.1f} s: {why}."
 
 
-def report_of(daemon: DaemonView) -> Report:
-    """Return use and idle cost of the shards that this daemon owns."""
+def build_report(daemon: DaemonContext) -> Report:
+    """Return used and idle capacity of the shards that this daemon owns."""
     totals: dict[str, OwnerSpan] = {}
     capacity = [0, 0, 0]
     for owner in daemon.shards.owners.values():
         accounts = owner.scheduler.shard.accounts
-        accounts.settle(milliseconds(_now()))
-        _add(accounts, totals, capacity)
+        accounts.apportion_span(milliseconds(_loop_time()))
+        _add_accounts(accounts, totals, capacity)
     sums = [
         sum(x.used.values[d] + x.idle.values[d] for x in totals.values())
         for d in range(3)
@@ -213,17 +237,19 @@
     lines = [
         ReportLine(
             name,
-            _hours(span.used.values),
-            _hours(span.borrowed.values),
-            _hours(span.lent.values),
-            _hours(span.idle.values),
+            _to_hours(span.used.values),
+            _to_hours(span.borrowed.values),
+            _to_hours(span.lent.values),
+            _to_hours(span.idle.values),
         )
         for name, span in sorted(totals.items())
     ]
-    return Report(_hours(capacity), lines, sums == capacity)
+    return Report(_to_hours(capacity), lines, sums == capacity)
 
 
-def _add(accounts: Accounts, totals: dict[str, OwnerSpan], capacity: list[int]) -> None:
+def _add_accounts(
+    accounts: Accounts, totals: dict[str, OwnerSpan], capacity: list[int]
+) -> None:
     for name, span in accounts.totals().items():
         totals.setdefault(name, OwnerSpan()).add(span)
     for amounts in accounts.capacity.values():
@@ -231,6 +257,6 @@
             capacity[dim] += amounts.values[dim]
 
 
-def _hours(values: list[int]) -> list[float]:
+def _to_hours(values: list[int]) -> list[float]:
     units = (3.6e9, 3.6e6 * 1024, 3.6e6)
     return [round(value / unit, 6) for value, unit in zip(values, units, strict=True)]
--- a/siskinroad/tables.py
+++ b/siskinroad/tables.py
@@ -1,15 +1,15 @@
-"""Plain text tables."""
+"""Plain-text tables."""
 
 from __future__ import annotations
 
 from collections.abc import Mapping, Sequence
 from typing import Any
 
-__all__ = ["table"]
+__all__ = ["format_table"]
 
 
-def table(columns: Sequence[str], rows: Sequence[Mapping[str, Any]]) -> str:
-    """Return rows as aligned text under their column names."""
+def format_table(columns: Sequence[str], rows: Sequence[Mapping[str, Any]]) -> str:
+    """Format rows as left-aligned text columns under a header line."""
     cells = [[str(row.get(column, "")) for column in columns] for row in rows]
     widths = [
         max([len(column), *(len(line[i]) for line in cells)])
--- a/siskinroad/upstreams_http.py
+++ b/siskinroad/upstreams_http.py
@@ -1,4 +1,4 @@
-"""Workers over HTTP, as ``docs/PLATFORM.md`` states it."""
+"""HTTP client of upstream hosts; ``docs/PLATFORM.md`` specifies the protocol."""
 
 from __future__ import annotations
 
@@ -11,14 +11,20 @@
     Refusal,
     StaleEpochError,
 )
-from siskinroad.http_client import HttpAnswer, HttpPool
-from siskinroad.upstreams import Answer, Control, Inventory, TaskStart, Upstreams
+from siskinroad.http_client import ClientResponse, HttpPool
+from siskinroad.upstreams import (
+    Control,
+    Inventory,
+    TaskStart,
+    UpstreamClient,
+    UpstreamResponse,
+)
 
 __all__ = [
     "ATTEMPT_HEADER",
     "EPOCH_HEADER",
     "OUTCOME_HEADER",
-    "HttpUpstreams",
+    "HttpUpstreamClient",
     "InventoryQuery",
 ]
 
@@ -26,9 +32,12 @@
 EPOCH_HEADER = "siskinroad-epoch"
 OUTCOME_HEADER = "siskinroad-outcome"
 NOT_RUN = "not run"
-CONTROL_TIME = 2.0
-STALE = 412
-OK = 200
+# Time limit, in seconds, of a start or control call, and of an inventory call beyond
+# the time that the host may wait for a task to end.
+CONTROL_TIMEOUT = 2.0
+# Sent with the epoch header: the host has seen a higher epoch.
+STATUS_STALE_EPOCH = 412
+STATUS_OK = 200
 
 
 class InventoryQuery(msgspec.Struct, frozen=True):
@@ -39,87 +48,111 @@
     renew: bool
 
 
-class HttpUpstreams(Upstreams):
-    """A client of every worker of the cell."""
+class HttpUpstreamClient(UpstreamClient):
+    """Client of all upstream hosts of the cell."""
 
     def __init__(self) -> None:
         self.pool = HttpPool()
 
     async def request(
-        self, host: Host, attempt: str, epoch: int, path: str, body: bytes, limit: float
-    ) -> Answer:
+        self,
+        host: Host,
+        attempt: str,
+        epoch: int,
+        path: str,
+        body: bytes,
+        timeout: float,
+    ) -> UpstreamResponse:
         """Send one request; see the base class."""
-        answer = await self._ask(host, epoch, "POST", path, body, limit, attempt)
-        if answer.headers.get(OUTCOME_HEADER) == NOT_RUN:
+        response = await self._send_request(
+            host, epoch, "POST", path, body, timeout, attempt
+        )
+        if response.headers.get(OUTCOME_HEADER) == NOT_RUN:
             raise Refusal(Reason.UPSTREAM_FAILED, step="upstream", peer=host.name)
-        echoed = answer.headers.get(ATTEMPT_HEADER, attempt)
+        echoed = response.headers.get(ATTEMPT_HEADER, attempt)
         if echoed != attempt:
             raise OutcomeUnknownError(
-                f"answer to {echoed}", step="upstream", peer=host.name
+                f"got the response to another attempt: {echoed}",
+                step="upstream",
+                peer=host.name,
             )
-        kind = answer.headers.get("content-type", "application/octet-stream")
-        return Answer(answer.status, answer.body, kind)
+        kind = response.headers.get("content-type", "application/octet-stream")
+        return UpstreamResponse(response.status, response.body, kind)
 
     async def start(self, host: Host, epoch: int, start: TaskStart) -> None:
         """Start a task; see the base class."""
         body = msgspec.json.encode(start)
-        answer = await self._ask(host, epoch, "PUT", "/tasks", body, CONTROL_TIME)
-        _expect_ok(answer, host)
+        response = await self._send_request(
+            host, epoch, "PUT", "/tasks", body, CONTROL_TIMEOUT
+        )
+        _expect_ok(response, host)
 
-    async def control(self, host: Host, epoch: int, attempt: str, do: Control) -> None:
+    async def control(
+        self, host: Host, epoch: int, attempt: str, action: Control
+    ) -> None:
         """Control a task; see the base class."""
-        target = f"/control/{do.value}"
+        target = f"/control/{action.value}"
         body = attempt.encode()
-        answer = await self._ask(host, epoch, "POST", target, body, CONTROL_TIME)
-        _expect_ok(answer, host)
+        response = await self._send_request(
+            host, epoch, "POST", target, body, CONTROL_TIMEOUT
+        )
+        _expect_ok(response, host)
 
     async def inventory(
         self, host: Host, epoch: int, acked: list[str], wait: float, renew: bool
     ) -> Inventory:
-        """Report all tasks; see the base class."""
+        """Return all tasks of a host; see the base class."""
         body = msgspec.json.encode(InventoryQuery(acked, wait, renew))
-        limit = wait + CONTROL_TIME
-        answer = await self._ask(host, epoch, "POST", "/inventory", body, limit)
-        _expect_ok(answer, host)
+        timeout = wait + CONTROL_TIMEOUT
+        response = await self._send_request(
+            host, epoch, "POST", "/inventory", body, timeout
+        )
+        _expect_ok(response, host)
         try:
-            return msgspec.json.decode(answer.body, type=Inventory)
+            return msgspec.json.decode(response.body, type=Inventory)
         except msgspec.MsgspecError as exc:
             raise OutcomeUnknownError(
-                f"inventory: {exc}", step="inventory", peer=host.name
+                f"inventory cannot be decoded: {exc}", step="inventory", peer=host.name
             ) from exc
 
     async def close(self) -> None:
-        """Close every connection."""
+        """Close all connections."""
         self.pool.close()
 
-    async def _ask(
+    async def _send_request(
         self,
         host: Host,
         epoch: int,
         method: str,
         target: str,
         body: bytes,
-        limit: float,
+        timeout: float,
         attempt: str = "",
-    ) -> HttpAnswer:
+    ) -> ClientResponse:
         headers = [(EPOCH_HEADER, str(epoch))]
         if attempt:
             headers.append((ATTEMPT_HEADER, attempt))
-        answer = await self.pool.request(
+        response = await self.pool.request(
             host.address,
             method,
             target,
             body=body,
             headers=tuple(headers),
-            limit=limit,
+            timeout=timeout,
         )
-        if answer.status == STALE and EPOCH_HEADER in answer.headers:
-            raise StaleEpochError("lower epoch", step=target, peer=host.name)
-        return answer
+        if response.status == STATUS_STALE_EPOCH and EPOCH_HEADER in response.headers:
+            raise StaleEpochError(
+                "host has seen a higher epoch",
+                step=target,
+                peer=host.name,
+            )
+        return response
 
 
-def _expect_ok(answer: HttpAnswer, host: Host) -> None:
-    if answer.status != OK:
+def _expect_ok(response: ClientResponse, host: Host) -> None:
+    if response.status != STATUS_OK:
         raise OutcomeUnknownError(
-            f"status {answer.status}", step="upstream", peer=host.name
+            f"expected status 200, got {response.status}",
+            step="upstream",
+            peer=host.name,
         )
--- a/siskinroad/work/claim_manager.py
+++ b/siskinroad/work/claim_manager.py
@@ -18,7 +18,7 @@
 from collections.abc import Callable
 
 from siskinroad.errors import SiskinroadError
-from siskinroad.peers import Peers, Reach
+from siskinroad.peers import PeerTransport, Reachability
 from siskinroad.work.claim import claim_pool
 from siskinroad.work.members import Members
 from siskinroad.work.model import Configuration, HostEntry
@@ -81,7 +81,7 @@
         self,
         member: Member,
         members: Members,
-        peers: Peers,
+        peers: PeerTransport,
         store: RelayStore,
         dependencies: OwnerDependencies,
         hosts: dict[str, HostEntry],
@@ -187,7 +187,7 @@
         last_heartbeat = self._members.last_heartbeats.get(owner.node)
         if last_heartbeat is not None and last_heartbeat.heartbeat.is_leaving:
             return False
-        return await self._peers.probe(owner.node) is Reach.LISTENS
+        return await self._peers.probe(owner.node) is Reachability.LISTENS
 
     async def _own_pool(self, pool: str) -> None:
         """Claim a pool and own it until another daemon takes it over."""
--- a/siskinroad/work/daemon.py
+++ b/siskinroad/work/daemon.py
@@ -8,9 +8,9 @@
 from typing import Any
 
 from siskinroad.errors import SiskinroadError
-from siskinroad.peers import Peers, Reach
+from siskinroad.peers import PeerTransport, Reachability
 from siskinroad.resources import Resources
-from siskinroad.suspend import SuspendWatch
+from siskinroad.suspend_detector import SuspendDetector
 from siskinroad.work.advisor_channels import AdvisorChannels
 from siskinroad.work.claim_manager import ClaimManager
 from siskinroad.work.follower import Follower
@@ -71,7 +71,7 @@
     ----------
     member : Member
         This daemon's name, its incarnation and its address for peers.
-    peers : Peers
+    peers : PeerTransport
         Connections to the other daemons.
     register_address : callable
         Called with each new member, to give its address to the connection layer.
@@ -83,7 +83,7 @@
         self,
         member: Member,
         platform_clients: PlatformClients,
-        peers: Peers,
+        peers: PeerTransport,
         register_address: Callable[[Member], None],
         timing: Timing,
         wall: Callable[[], float],
@@ -97,7 +97,7 @@
         self.hosts: dict[str, HostEntry] = {}
         self._register_address = register_address
         self._tasks: list[asyncio.Task[None]] = []
-        self._suspend_detector = SuspendWatch()
+        self._suspend_detector = SuspendDetector()
         self._background_tasks: set[asyncio.Task[None]] = set()
         now = asyncio.get_running_loop().time
         self.peer_calls = PeerCalls(peers, member.incarnation << 20)
@@ -303,7 +303,7 @@
 
     async def _run_heartbeats(self) -> None:
         while True:
-            if self._suspend_detector.suspended():
+            if self._suspend_detector.take_suspended_s():
                 log.warning(
                     "daemon: process was suspended; owners must confirm their claims"
                 )
@@ -468,7 +468,7 @@
         last_heartbeat = self.members.last_heartbeats.get(peer)
         reach = await self.peers.probe(peer)
         if (
-            reach is not Reach.REFUSES
+            reach is not Reachability.REFUSES
             or self.members.last_heartbeats.get(peer) != last_heartbeat
         ):
             return
--- a/tests/test_slim.py
+++ b/tests/test_import_stubs.py
@@ -1,10 +1,12 @@
+"""Imports of a daemon without the library modules that it never uses."""
+
 import subprocess
 import sys
 
 CODE = """
 import sys
-from siskinroad.slim import slim_imports
-slim_imports()
+from siskinroad.import_stubs import stub_unused_imports
+stub_unused_imports()
 import siskinroad.listeners
 import hashlib
 from siskinroad.metrics import Metrics
@@ -18,7 +20,7 @@
 """
 
 
-def test_a_daemon_works_without_what_it_does_not_use():
+def test_daemon_modules_and_metrics_work_after_stub_unused_imports():
     done = subprocess.run(
         [sys.executable, "-c", CODE], capture_output=True, text=True, check=False
     )
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from bench.clock import run
-from siskinroad.peers import Reach
+from bench.clock import run_on_paused_clock
+from siskinroad.peers import Reachability
 from siskinroad.work.hosts import EndKind
 from siskinroad.work.model import TaskId
 from tests.work.cell import ADVISED, POOL, Cell, job, step
@@ -22,7 +22,7 @@
             await cell.close()
         cell.check_run_numbers()
 
-    run(run_and_close())
+    run_on_paused_clock(run_and_close())
 
 
 def test_two_step_job_runs_in_order_and_completes():
@@ -135,7 +135,7 @@
         assert cell.owner() == owner
 
     async def answer_listening(name):
-        return Reach.LISTENS
+        return Reachability.LISTENS
 
     run_scenario(scenario)
 
