--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -21,7 +21,7 @@
 from siskinroad.load import percentile
 from siskinroad.queues import Item
 from siskinroad.scheduler import Scheduler
-from siskinroad.tables import table
+from siskinroad.tables import format_table
 
 SEED = 3
 POLICIES = ("siskinroad", "first come", "strict priority")
@@ -388,7 +388,7 @@
         "cpu = 32\nmemory_gib = 128", _host_tables(hosts, 5), owners, work
     )
     policy = Scheduler(cell, random.Random(SEED), 0.0)
-    policy.shard.door.limit = 1_000_000
+    policy.shard.admission_limit.limit = 1_000_000
     for host in cell.hosts():
         policy.add_host(host, 0.0)
         policy.host_event(host.name, "inventory", 0.0)
@@ -430,7 +430,7 @@
         began = time.perf_counter()
         effects = policy.submit(item, now)
         middle = time.perf_counter()
-        effects += policy.ended(key, 0, End.DONE, now)
+        effects += policy.record_attempt_end(key, 0, End.DONE, now)
         times += [middle - began, time.perf_counter() - middle]
         active += [e.item.key for e in effects if isinstance(e, StartTask)]
     return times
@@ -502,7 +502,7 @@
 def main(args: list[str]) -> int:
     found = measure("--quick" in args)
     for name, rows in found.items():
-        print(f"\n{name}\n{table(list(rows[0]), rows)}")
+        print(f"\n{name}\n{format_table(list(rows[0]), rows)}")
     if "--json" in args:
         with open(args[args.index("--json") + 1], "w", encoding="utf-8") as file:
             json.dump(found, file, indent=1)
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -7,12 +7,12 @@
 from collections.abc import Awaitable, Callable, Coroutine
 from typing import Any, TypeVar
 
-from bench.clock import run
-from bench.invariants import CallerRequest, Seen, check
+from bench.clock import run_on_paused_clock
+from bench.invariants import CallerRequest, Observations, check_invariants
 from bench.world import World, small_cell
 from siskinroad.entry import Daemon
 from siskinroad.errors import ConflictError, PlatformError, Refusal, SiskinroadError
-from siskinroad.platform import CELL_STREAM, HostState, dc_stream
+from siskinroad.platform import CELL_STREAM, HostState, data_centre_stream
 
 T = TypeVar("T")
 
@@ -48,7 +48,7 @@
         self.rng = random.Random(seed)
         self.faults = faults
         self.world = World(small_cell(fencing=fencing), list(NAMES), seed)
-        self.seen = Seen()
+        self.observations = Observations()
         self.request_count = 0
         self.latest_revision = 0
         self.pending_calls: dict[str, set[asyncio.Task[None]]] = {}
@@ -57,7 +57,7 @@
         return asyncio.get_running_loop().time()
 
     async def run(self) -> list[str]:
-        await self.world.ready()
+        await self.world.start_and_configure()
         self.latest_revision = 1
         watcher = asyncio.create_task(self._record_revisions())
         async with asyncio.TaskGroup() as group:
@@ -67,7 +67,10 @@
                 group.create_task(self._inject_fault(name))
         await self._recover()
         watcher.cancel()
-        return check(self.seen, self.world.workers) + self._find_stale_daemons()
+        return (
+            check_invariants(self.observations, self.world.memory_hosts)
+            + self._find_stale_daemons()
+        )
 
     async def _inject_fault(self, name: str) -> None:
         await asyncio.sleep(self.rng.uniform(1.0, 8.0))
@@ -105,20 +108,20 @@
         self.request_count += 1
         service = self.rng.choice(["quote", "quote", "dispatch"])
         body = f"{service}-{self.request_count}".encode()
-        asked = CallerRequest(body, service, service == "quote", self.now())
+        request = CallerRequest(body, service, service == "quote", self.now())
         key = body.decode() if service == "dispatch" else ""
         try:
-            answer = await self.world.ask(name, service, body, key)
+            answer = await self.world.send_request(name, service, body, key)
         except Refusal as exc:
-            asked.reason, asked.outcome = exc.reason.value, exc.outcome.value
+            request.reason, request.outcome = exc.reason.value, exc.outcome.value
         except asyncio.CancelledError:
-            asked.reason, asked.outcome = "connection_lost", "outcome unknown"
+            request.reason, request.outcome = "connection_lost", "outcome unknown"
         else:
-            asked.answer, asked.status = answer.body, answer.status
-        asked.answered_at = self.now()
-        self.seen.asked.append(asked)
-        if key and self.rng.random() < 0.3 and asked.status != 200:
-            asked.repeated = True
+            request.answer, request.status = answer.body, answer.status
+        request.answered_at = self.now()
+        self.observations.requests.append(request)
+        if key and self.rng.random() < 0.3 and request.status != 200:
+            request.repeated = True
             await self._repeat_request(service, body, key)
 
     async def _repeat_request(self, service: str, body: bytes, key: str) -> None:
@@ -127,7 +130,7 @@
             return
         name = self.rng.choice(sorted(self.world.daemons))
         try:
-            await self.world.ask(name, service, body, key)
+            await self.world.send_request(name, service, body, key)
         except Refusal:
             return
 
@@ -150,14 +153,14 @@
             return ""
         if view is None:
             return ""
-        self.seen.accepted[view.job] = count
+        self.observations.accepted[view.job] = count
         return view.job
 
     async def _record_revisions(self) -> None:
         while True:
             for name, daemon in self.world.daemons.items():
                 revision = daemon.configuration.revision
-                self.seen.revisions.append(
+                self.observations.revisions.append(
                     (self.now(), name, daemon.incarnation, revision)
                 )
             await asyncio.sleep(0.5)
@@ -168,34 +171,39 @@
         world.log.faults.down = False
         world.log.faults.cut.clear()
         world.log.faults.delay = 0.0
-        world.log.faults.lose_answers = 0
+        world.log.faults.lost_replies = 0
         world.network.faults.cut.clear()
         world.network.faults.loss = 0.0
         world.network.faults.duplicate = 0.0
         world.network.faults.jitter = 0.0
-        world.cut.clear()
-        for worker in world.workers.values():
-            worker.faults.down = worker.faults.silent = worker.faults.mute = False
-            worker.faults.failing = False
+        world.blocked_calls.clear()
+        for memory_host in world.memory_hosts.values():
+            memory_host.faults.down = memory_host.faults.silent = (
+                memory_host.faults.loses_replies
+            ) = False
+            memory_host.faults.failing = False
         for name in NAMES:
             if name not in world.daemons:
                 world.start(name)
         self.healed_at = self.now()
         until = self.now() + RECOVERY_TIME
-        while self.now() < until and set(self.seen.accepted) - self.seen.settled:
+        while (
+            self.now() < until
+            and set(self.observations.accepted) - self.observations.settled
+        ):
             await asyncio.sleep(1.0)
             await self._record_settled_jobs()
         await asyncio.sleep(max(0.0, self.healed_at + 10.0 - self.now()))
 
     async def _record_settled_jobs(self) -> None:
-        for job in set(self.seen.accepted) - self.seen.settled:
+        for job in set(self.observations.accepted) - self.observations.settled:
             centre = job.rpartition(".")[0]
             for daemon in self.world.daemons.values():
                 if daemon.cfg.data_centre != centre:
                     continue
                 state = daemon.ledger.jobs.get(job)
                 if state is not None and state.settled:
-                    self.seen.settled.add(job)
+                    self.observations.settled.add(job)
 
     def _find_stale_daemons(self) -> list[str]:
         """Return a message for each daemon without the latest revision.
@@ -212,8 +220,8 @@
         names = [name for name in sorted(self.world.daemons) if name.startswith(prefix)]
         return self.rng.choice(names) if names else ""
 
-    def worker(self):
-        return self.world.workers[self.rng.choice(sorted(self.world.workers))]
+    def pick_host(self):
+        return self.world.memory_hosts[self.rng.choice(sorted(self.world.memory_hosts))]
 
     async def pause(self) -> None:
         await asyncio.sleep(self.rng.uniform(0.5, MAX_FAULT_TIME))
@@ -265,48 +273,48 @@
     if not name or not session.world.cell.pools["booking"].fencing:
         return
     upstreams = session.world.daemons[name].upstreams
-    held = upstreams.held = asyncio.Event()
+    delivery_gate = upstreams.delivery_gate = asyncio.Event()
     session.world.network.pause(name)
     session.world.log.faults.cut.add(name)
     await session.pause()
     session.world.network.resume(name)
     session.world.log.faults.cut.discard(name)
-    held.set()
-    if upstreams.held is held:
-        upstreams.held = None
+    delivery_gate.set()
+    if upstreams.delivery_gate is delivery_gate:
+        upstreams.delivery_gate = None
 
 
 async def host_fails(session: Session) -> None:
     """Crash a host, which then refuses connections."""
-    worker = session.worker()
-    worker.faults.down = True
-    worker.crash(session.now())
+    memory_host = session.pick_host()
+    memory_host.faults.down = True
+    memory_host.crash(session.now())
     await session.pause()
-    worker.faults.down = False
+    memory_host.faults.down = False
 
 
 async def host_silent(session: Session) -> None:
     """Drop all calls to a host."""
-    worker = session.worker()
-    worker.faults.silent = True
+    memory_host = session.pick_host()
+    memory_host.faults.silent = True
     await session.pause()
-    worker.faults.silent = False
+    memory_host.faults.silent = False
 
 
 async def host_mute(session: Session) -> None:
     """Let calls to a host take effect, but drop its answers."""
-    worker = session.worker()
-    worker.faults.mute = True
+    memory_host = session.pick_host()
+    memory_host.faults.loses_replies = True
     await session.pause()
-    worker.faults.mute = False
+    memory_host.faults.loses_replies = False
 
 
 async def host_fails_everything(session: Session) -> None:
     """Let all tasks and requests on a host fail at once."""
-    worker = session.worker()
-    worker.faults.failing = True
+    memory_host = session.pick_host()
+    memory_host.faults.failing = True
     await session.pause()
-    worker.faults.failing = False
+    memory_host.faults.failing = False
 
 
 async def log_down(session: Session) -> None:
@@ -322,7 +330,7 @@
 
 
 async def log_answers_lost(session: Session) -> None:
-    session.world.log.faults.lose_answers = session.rng.randrange(1, 8)
+    session.world.log.faults.lost_replies = session.rng.randrange(1, 8)
     await session.pause()
 
 
@@ -330,11 +338,11 @@
     """Write snapshots and trim the streams of the log up to them."""
     trims: dict[str, int] = {}
     for daemon in list(session.world.daemons.values()):
-        stream = dc_stream(daemon.cfg.data_centre)
+        stream = data_centre_stream(daemon.cfg.data_centre)
         as_of = daemon.ledger.next_offset
         if session.world.daemons.get(daemon.cfg.name) is not daemon:
             continue
-        if not daemon.ledger.whole or daemon.configuration.revision == 0:
+        if not daemon.ledger.is_complete or daemon.configuration.revision == 0:
             continue
         before = session.world.log.streams[CELL_STREAM].tail
         await session.call_daemon(daemon, daemon.snapshotter.write_all())
@@ -377,9 +385,9 @@
     }
     if cut_log:
         faults.cut.add(name)
-    session.world.cut |= hosts
+    session.world.blocked_calls |= hosts
     await _cut_links(session, [name], others)
-    session.world.cut -= hosts
+    session.world.blocked_calls -= hosts
     faults.cut.discard(name)
 
 
@@ -422,7 +430,7 @@
     except Refusal:
         return
     if view is not None:
-        session.seen.cancelled[job] = session.now()
+        session.observations.cancelled[job] = session.now()
 
 
 async def operators_race(session: Session) -> None:
@@ -452,22 +460,24 @@
 
 async def host_leaves(session: Session) -> None:
     """List a host as leaving for 8 s; does nothing beside other faults."""
-    worker = session.worker()
-    centre = "east-1" if worker.name.startswith("e") else "west-1"
+    memory_host = session.pick_host()
+    centre = "east-1" if memory_host.name.startswith("e") else "west-1"
     if session.faults != ["host_leaves"]:
         return
-    session.world.log.set_listed(centre, worker.name, HostState.LEAVING)
+    session.world.log.set_host_state(centre, memory_host.name, HostState.LEAVING)
     since = session.now()
     await asyncio.sleep(8.0)
-    session.world.log.set_listed(centre, worker.name, HostState.LIVE)
-    session.seen.leaving_periods.append((worker.name, since, session.now()))
+    session.world.log.set_host_state(centre, memory_host.name, HostState.LIVE)
+    session.observations.leaving_periods.append(
+        (memory_host.name, since, session.now())
+    )
 
 
 async def rolling_replacement(session: Session) -> None:
     """Drain and restart each daemon in turn; does nothing beside other faults."""
     if session.faults != ["rolling_replacement"]:
         return
-    session.seen.must_answer = True
+    session.observations.must_answer = True
     for name in NAMES:
         daemon = session.world.daemons[name]
         del session.world.daemons[name]
@@ -519,4 +529,4 @@
             ]
             return [f"{len(waiting)} requests still pending after {MAX_TIME} s"]
 
-    return run(main())
+    return run_on_paused_clock(main())
--- a/bench/golden.py
+++ b/bench/golden.py
@@ -10,11 +10,11 @@
 import re
 from pathlib import Path
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from bench.world import World
-from siskinroad.callers import Callers
+from siskinroad.callers import CallerApi
 from siskinroad.httpd import serve_connection
-from siskinroad.operators import Operators
+from siskinroad.operators import OperatorApi
 
 ROOT = Path(__file__).parent.parent
 GOLDEN = ROOT / "tests" / "golden"
@@ -48,7 +48,7 @@
         centres = sorted(re.findall(r'data_centres = \["([^"]+)"\]', text))
         names = [f"{centre}{x}" for centre in centres for x in "ab"]
         self.world = World(text, names, seed)
-        self.world.seconds = REQUEST_SECONDS
+        self.world.run_time_s = REQUEST_SECONDS
         self.lines: list[str] = []
         self.default_daemon = names[0]
 
@@ -65,7 +65,7 @@
         """Send one request over an in-memory connection and record the exchange."""
         daemon = self.world.daemons[name or self.default_daemon]
         operator = not target.startswith(("/v1/services", "/v1/jobs"))
-        handler = (Operators if operator else Callers)(daemon).handle
+        handler = (OperatorApi if operator else CallerApi)(daemon).handle
         fields = {"host": "test", "content-length": str(len(body)), **headers}
         head = f"{method} {target} HTTP/1.1\r\n"
         head += "".join(f"{k.replace('_', '-')}: {v}\r\n" for k, v in fields.items())
@@ -163,7 +163,7 @@
 
 def transcript(cell: str) -> str:
     """Return the transcript of the session with one example cell."""
-    return run(_run_session(cell, *SESSIONS[cell]))
+    return run_on_paused_clock(_run_session(cell, *SESSIONS[cell]))
 
 
 if __name__ == "__main__":
--- a/bench/model.py
+++ b/bench/model.py
@@ -14,7 +14,7 @@
 from siskinroad.ledger import Ledger
 from siskinroad.membership import Membership
 from siskinroad.messages import Echo, Heartbeat
-from siskinroad.ownership import Append, Ownership, ReleaseShard, TakeShard
+from siskinroad.ownership import Append, Ownership, ReleaseShard, TakeOverShard
 from siskinroad.records import ClaimReleased, Record
 
 NAMES = ("a", "b", "c")
@@ -38,13 +38,15 @@
     paused: int = 0
     ledger: Ledger = field(default_factory=Ledger)
     members: Membership = field(init=False)
-    own: Ownership = field(init=False)
+    ownership: Ownership = field(init=False)
     inbox: list[Heartbeat] = field(default_factory=list)
 
     def __post_init__(self) -> None:
         self.members = Membership(self.name)
-        self.own = Ownership(self.name, self.incarnation, self.ledger, self.members)
-        self.own.set_shards(dict.fromkeys(SHARDS, False))
+        self.ownership = Ownership(
+            self.name, self.incarnation, self.ledger, self.members
+        )
+        self.ownership.set_shards(dict.fromkeys(SHARDS, False))
 
 
 @dataclass
@@ -88,7 +90,7 @@
             if not node.up or node.paused:
                 continue
             for msg in node.inbox:
-                node.members.hear(msg, self.now)
+                node.members.record_heartbeat(msg, self.now)
             node.inbox.clear()
             self._tick(node)
 
@@ -98,7 +100,7 @@
         while node.ledger.next_offset <= len(self.log):
             offset = node.ledger.next_offset
             node.ledger.apply(offset, self.log[offset - 1])
-        node.own.log_confirmed(self.now)
+        node.ownership.confirm_by_log(self.now)
 
     def _send_heartbeats(self, node: Node) -> None:
         for other in self.nodes.values():
@@ -108,7 +110,9 @@
             if (node.name, other.name) in self.one_way:
                 continue
             member = node.members.members.get(other.name)
-            echo = Echo(member.stamp, node.own.contests()) if member else None
+            echo = (
+                Echo(member.stamp, node.ownership.claimed_shards()) if member else None
+            )
             other.inbox.append(
                 Heartbeat(
                     node.name,
@@ -117,21 +121,21 @@
                     echo,
                     1,
                     False,
-                    node.own.joined(),
-                    node.own.admits(),
+                    node.ownership.is_admitted(),
+                    node.ownership.required_peers(),
                     [],
                 )
             )
 
     def _tick(self, node: Node) -> None:
-        for effect in node.own.tick(self.now):
+        for effect in node.ownership.tick(self.now):
             match effect:
                 case Append(record=record):
                     self._append(node, record)
                 case ReleaseShard():
                     self._append(node, ClaimReleased(effect.shard, effect.epoch))
-                case TakeShard():
-                    node.own.taken(effect.shard, effect.epoch)
+                case TakeOverShard():
+                    node.ownership.finish_takeover(effect.shard, effect.epoch)
 
     def _append(self, node: Node, record: Record) -> None:
         if node.name in self.no_log:
@@ -147,7 +151,7 @@
             placing_daemons = [
                 node.name
                 for node in self.nodes.values()
-                if node.up and node.own.may_place(shard, self.now)
+                if node.up and node.ownership.may_place(shard, self.now)
             ]
             if len(placing_daemons) > 1:
                 return f"{shard} at {self.now}: {placing_daemons}"
@@ -202,13 +206,13 @@
 ]
 
 
-def steady() -> bytes:
+def create_steady_state() -> bytes:
     """Return a pickled model in which each shard has one owner."""
     model = Model({name: Node(name) for name in NAMES})
     for _ in range(16):
         model.step()
     placed = [
-        sum(node.own.may_place(shard, model.now) for node in model.nodes.values())
+        sum(node.ownership.may_place(shard, model.now) for node in model.nodes.values())
         for shard in SHARDS
     ]
     assert placed == [1, 1], placed
@@ -223,16 +227,16 @@
     AssertionError
         With the sequence that lets two daemons place work on one shard.
     """
-    start = steady()
+    start = create_steady_state()
     tried = 0
     for sequence in itertools.product(actions or ACTIONS, repeat=depth):
         tried += 1
-        conflict = follow(start, sequence)
+        conflict = run_sequence(start, sequence)
         assert not conflict, f"{sequence}: {conflict}"
     return tried
 
 
-def follow(start: bytes, sequence: tuple[tuple[str, ...], ...]) -> str:
+def run_sequence(start: bytes, sequence: tuple[tuple[str, ...], ...]) -> str:
     """Run one sequence; return the conflict that it leads to, or an empty string."""
     model: Model = pickle.loads(start)
     for name, *args in sequence:
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -29,10 +29,10 @@
 from siskinroad.http_client import HttpPool
 from siskinroad.httpd import HttpServer
 from siskinroad.load import percentile
-from siskinroad.platform_memory import MemoryLog
-from siskinroad.stand_ins import PlatformServer, WorkerServer
-from siskinroad.tables import table
-from siskinroad.upstreams_memory import MemoryWorker
+from siskinroad.platform_memory import MemoryPlatformState
+from siskinroad.stand_in_servers import HostServer, PlatformServer
+from siskinroad.tables import format_table
+from siskinroad.upstreams_memory import MemoryHost
 
 ROOT = Path(__file__).parent.parent
 DAEMONS_PER_CENTRE = 7
@@ -75,7 +75,7 @@
         self.text = _make_cell_text(sorted(set(self.centre.values())))
         self.pool = HttpPool()
         self.procs: dict[str, subprocess.Popen] = {}
-        self.log = MemoryLog()
+        self.log = MemoryPlatformState()
 
     async def start_all(self) -> None:
         platform = PlatformServer(self.log)
@@ -83,10 +83,10 @@
         cell = parse_cell(self.text)
         for host in cell.hosts():
             capacity = cell.pools["p"].capacity
-            worker = MemoryWorker(
+            memory_host = MemoryHost(
                 host.name, capacity, random.Random(1), duration=lambda w, r: 0.0
             )
-            address = await WorkerServer(worker, host).http.listen("127.0.0.1:0")
+            address = await HostServer(memory_host, host).http.listen("127.0.0.1:0")
             self.text = self.text.replace(f'"{host.address}"', f'"{address}"')
         ports = free_addresses(3 * len(self.names))
         self.ports = {n: ports[3 * i : 3 * i + 3] for i, n in enumerate(self.names)}
@@ -121,7 +121,7 @@
         self, name: str, method: str, target: str, body: bytes = b""
     ) -> Any:
         return await self.pool.request(
-            self.ports[name][1], method, target, body=body, limit=30.0
+            self.ports[name][1], method, target, body=body, timeout=30.0
         )
 
     async def _are_all_healthy(self) -> bool:
@@ -332,7 +332,7 @@
         sizes = [int(argument) for argument in arguments] or [1, 7, 21, 70]
         rows = [asyncio.run(measure_at_rest(size)) for size in sizes]
         name = "processes.json"
-    print(table(list(rows[0]), rows))
+    print(format_table(list(rows[0]), rows))
     (ROOT / "docs" / name).write_text(json.dumps(rows, indent=1) + "\n")
     return 0
 
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -19,12 +19,12 @@
 from pathlib import Path
 from typing import Any
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from bench.world import CELL, SERVICES, World, pool
 from siskinroad.cell import parse_cell
 from siskinroad.deltas import make_delta
 from siskinroad.ledger import Ledger
-from siskinroad.messages import Digest, Echo, Heartbeat, LogTail, ShardNews, encode
+from siskinroad.messages import Digest, Echo, Heartbeat, LogTail, ShardUpdate, encode
 from siskinroad.queues import Item
 from siskinroad.records import (
     CellRevision,
@@ -76,7 +76,7 @@
 def _make_scheduler(hosts: int) -> Scheduler:
     cell = parse_cell(_make_cell_text(hosts))
     scheduler = Scheduler(cell, random.Random(SEED), 0.0)
-    scheduler.shard.door.limit = 10_000_000
+    scheduler.shard.admission_limit.limit = 10_000_000
     for host in cell.hosts():
         scheduler.add_host(host, 0.0)
         scheduler.host_event(host.name, "inventory", 0.0)
@@ -157,7 +157,7 @@
 
 def measure_message_sizes() -> dict[str, int]:
     """Return the encoded size of each kind of message and record, in bytes."""
-    updates = [ShardNews("booking/east-1/0", 123456789, 40, {})]
+    updates = [ShardUpdate("booking/east-1/0", 123456789, 40, {})]
     names = [f"east-1{x}" for x in "abcdefg"]
     stamp = 123456.789
     heartbeat = Heartbeat(
@@ -218,16 +218,18 @@
     """Measure the bytes and messages a second sent, and log requests made, at rest."""
     names = [f"east-1{chr(97 + i)}" for i in range(peers + 1)]
     world = World(_make_cell_text(4), names, SEED)
-    await world.ready()
-    sent = [sum(d.peers.traffic.sent.values()) for d in world.daemons.values()]
+    await world.start_and_configure()
+    sent = [sum(d.peers.traffic.bytes_sent.values()) for d in world.daemons.values()]
     messages_before = [
-        sum(d.peers.traffic.messages.values()) for d in world.daemons.values()
+        sum(d.peers.traffic.messages_sent.values()) for d in world.daemons.values()
     ]
     reads, appends = world.log.reads, world.log.appends
     await asyncio.sleep(seconds)
-    sent_after = [sum(d.peers.traffic.sent.values()) for d in world.daemons.values()]
+    sent_after = [
+        sum(d.peers.traffic.bytes_sent.values()) for d in world.daemons.values()
+    ]
     messages_after = [
-        sum(d.peers.traffic.messages.values()) for d in world.daemons.values()
+        sum(d.peers.traffic.messages_sent.values()) for d in world.daemons.values()
     ]
     return {
         "reader": (sent_after[0] - sent[0]) / seconds,
@@ -241,7 +243,9 @@
 def measure_control_slopes() -> dict[str, Any]:
     """Measure how idle traffic grows with the peers in the data centre."""
     sizes = [1, 2, 4, 8, 16]
-    found = {peers: run(_measure_idle_rates(peers, 60.0)) for peers in sizes}
+    found = {
+        peers: run_on_paused_clock(_measure_idle_rates(peers, 60.0)) for peers in sizes
+    }
     slopes: dict[str, Any] = {}
     for key in ("reader", "other", "messages", "reads", "appends"):
         points = [(peers, found[peers][key]) for peers in sizes]
@@ -254,7 +258,7 @@
     names = [f"{centre}{x}" for centre in ("east-1", "west-1") for x in "abc"]
     hosts = [("e0", "r", "east-1"), ("w0", "r", "west-1")]
     world = World(CELL + pool("booking", hosts) + SERVICES, names, SEED)
-    await world.ready()
+    await world.start_and_configure()
     before = _count_digest_bytes(world)
     await asyncio.sleep(seconds)
     return (_count_digest_bytes(world) - before) / seconds
@@ -264,7 +268,7 @@
     """Return the digest bytes sent across regions, without relays inside them."""
     total = 0
     for daemon in world.daemons.values():
-        total += daemon.beats.sent_abroad
+        total += daemon.periodic.cross_dc_bytes
     return total
 
 
@@ -282,7 +286,7 @@
     def exchange_heartbeat() -> None:
         stamp[0] += 1.0
         msg = Heartbeat("a", 1, stamp[0], Echo(2.0, []), 3, False, True, ["b"] * 6, [])
-        members.hear(decode(encode(msg)), stamp[0])
+        members.record_heartbeat(decode(encode(msg)), stamp[0])
 
     steps = {"heartbeat sent and heard": exchange_heartbeat}
     scheduler = _make_scheduler_with_tasks(2000, "recount", 64)
@@ -320,7 +324,9 @@
         "messages": measure_message_sizes(),
         "control": measure_control_slopes(),
         "abroad": {
-            "digest bytes a second, pair": round(run(_measure_digest_rate(60.0)), 2)
+            "digest bytes a second, pair": round(
+                run_on_paused_clock(_measure_digest_rate(60.0)), 2
+            )
         },
         "times": measure_step_times(),
     }
--- a/siskinroad/callers.py
+++ b/siskinroad/callers.py
@@ -8,14 +8,14 @@
 
 from siskinroad.cell import Workload
 from siskinroad.errors import Outcome, Reason, Refusal
-from siskinroad.front import Request
 from siskinroad.httpd import HttpRequest, HttpResponse
 from siskinroad.replies import json_response, refusal_response
+from siskinroad.request_handler import Request
 
 if TYPE_CHECKING:
     from siskinroad.entry import Daemon
 
-__all__ = ["Callers"]
+__all__ = ["CallerApi"]
 
 KEY_HEADER = "idempotency-key"
 TIMEOUT_HEADER = "siskinroad-timeout"
@@ -26,7 +26,7 @@
 log = logging.getLogger("siskinroad.callers")
 
 
-class Callers:
+class CallerApi:
     """Request handler of the callers' listener.
 
     ``/v1/services/NAME[/PATH]`` sends a request to a service,
@@ -87,12 +87,14 @@
             text = f"body is larger than {workload.max_body} bytes"
             raise Refusal(Reason.BAD_REQUEST, step="callers", message=text)
         request = self._build_request(req, workload)
-        if not self.daemon.bytes.take(len(req.body), workload.urgency):
+        if not self.daemon.bytes.reserve(len(req.body), workload.urgency):
             raise Refusal(Reason.SHED, step="callers", retry_after=1.0)
         try:
-            answer = await self.daemon.front.serve(request, self.daemon.cell())
+            answer = await self.daemon.request_handler.serve(
+                request, self.daemon.cell()
+            )
         finally:
-            self.daemon.bytes.give_back(len(req.body))
+            self.daemon.bytes.release(len(req.body))
         self.daemon.metrics.answers.labels(name).inc()
         return HttpResponse(answer.status, answer.body, answer.content_type)
 
--- a/siskinroad/entry.py
+++ b/siskinroad/entry.py
@@ -9,29 +9,28 @@
 from typing import Any
 
 from siskinroad.appender import Appender
-from siskinroad.beats import Beats
 from siskinroad.cell import Cell
 from siskinroad.charts import load_chart
 from siskinroad.configuration import Configuration
 from siskinroad.errors import ConfigError, Reason, Refusal
 from siskinroad.forwarding import Forwarder, Receiver
-from siskinroad.front import Front, Request
-from siskinroad.jobs import JobDesk
-from siskinroad.keys import KeyGuard
+from siskinroad.heartbeats import PeriodicMessages
+from siskinroad.idempotency import IdempotencyGuard
+from siskinroad.jobs import JobService
 from siskinroad.ledger import Ledger
 from siskinroad.limits import ByteLimit
-from siskinroad.loads import LoadTable
-from siskinroad.logfeed import LogFeed, Stream
+from siskinroad.load_reports import LoadTable
+from siskinroad.log_reader import LogReader, Stream
 from siskinroad.membership import Membership
 from siskinroad.messages import (
     Digest,
     Forward,
     ForwardAck,
-    ForwardAsk,
+    ForwardQuery,
     Heartbeat,
+    HostListUpdate,
     JobReply,
     JobRequest,
-    ListNews,
     LogFetch,
     LogRecords,
     LogTail,
@@ -43,16 +42,17 @@
 )
 from siskinroad.metrics import Metrics
 from siskinroad.ownership import Ownership
-from siskinroad.peers import Peers
-from siskinroad.platform import CELL_STREAM, Platform, dc_stream
+from siskinroad.peers import PeerTransport
+from siskinroad.platform import CELL_STREAM, Platform, data_centre_stream
 from siskinroad.publisher import Publisher
 from siskinroad.records import Record
+from siskinroad.request_handler import Request, RequestHandler
 from siskinroad.routing import Place, ShardLoad
 from siskinroad.settings import Settings
-from siskinroad.shards import ShardSet
+from siskinroad.shards import OwnedShards
 from siskinroad.snapshotter import Snapshotter
 from siskinroad.status import explain
-from siskinroad.upstreams import Answer, Upstreams
+from siskinroad.upstreams import UpstreamClient, UpstreamResponse
 
 __all__ = ["Daemon"]
 
@@ -80,7 +80,7 @@
         The daemon's settings.
     incarnation : int
         A number that rises with each start of the same daemon.
-    platform, upstreams, peers : Platform, Upstreams, Peers
+    platform, upstreams, peers : Platform, UpstreamClient, PeerTransport
         Clients of the platform, of upstream hosts and of other daemons.
     rng : random.Random
         Seeded source of jitter.
@@ -91,8 +91,8 @@
         cfg: Settings,
         incarnation: int,
         platform: Platform,
-        upstreams: Upstreams,
-        peers: Peers,
+        upstreams: UpstreamClient,
+        peers: PeerTransport,
         rng: random.Random,
     ) -> None:
         self.cfg = cfg
@@ -114,17 +114,17 @@
     def _build_coordination(self) -> None:
         cfg, rng = self.cfg, self.rng
         send = self.peers.send
-        stream = dc_stream(cfg.data_centre)
+        stream = data_centre_stream(cfg.data_centre)
         self.members = Membership(cfg.name)
         self.ledger = Ledger()
         self.configuration = Configuration()
         self.ownership = Ownership(
             cfg.name, self.incarnation, self.ledger, self.members
         )
-        self.feed = LogFeed(
-            cfg.name, self.platform, self.members, send, self._log_confirmed, rng
+        self.log_reader = LogReader(
+            cfg.name, self.platform, self.members, send, self._confirm_by_log, rng
         )
-        self.feed.follow(
+        self.log_reader.follow(
             Stream(
                 CELL_STREAM,
                 lambda: self.configuration.next_offset,
@@ -132,7 +132,7 @@
                 self._skip_cell,
             )
         )
-        self.feed.follow(
+        self.log_reader.follow(
             Stream(
                 stream,
                 lambda: self.ledger.next_offset,
@@ -141,19 +141,21 @@
             )
         )
         self.appender = Appender(
-            self.platform, stream, cfg.name, rng, lambda _: self.feed.wake()
+            self.platform, stream, cfg.name, rng, lambda _: self.log_reader.wake()
         )
         self.cell_appender = Appender(
-            self.platform, CELL_STREAM, cfg.name, rng, lambda _: self.feed.wake()
+            self.platform, CELL_STREAM, cfg.name, rng, lambda _: self.log_reader.wake()
         )
         self.snapshotter = Snapshotter(self)
 
     def _build_request_path(self) -> None:
         cfg, rng = self.cfg, self.rng
         send = self.peers.send
-        put = self.appender.put
-        self.guard = KeyGuard(cfg.name, self.ledger, put, self._ledger_applied)
-        self.shards = ShardSet(
+        append = self.appender.append
+        self.guard = IdempotencyGuard(
+            cfg.name, self.ledger, append, self._ledger_applied
+        )
+        self.shards = OwnedShards(
             self.place,
             self.ownership,
             self.ledger,
@@ -166,7 +168,7 @@
         self.load_table = LoadTable(self.place, self.members)
         self.forwarder = Forwarder(cfg.name, self.incarnation, send)
         self.receiver = Receiver(self.incarnation, send, self._run_forwarded)
-        self.front = Front(
+        self.request_handler = RequestHandler(
             cfg.name,
             self.place,
             self.loads,
@@ -175,13 +177,13 @@
             self.load_table.incarnation,
             rng,
         )
-        self.jobs = JobDesk(
+        self.jobs = JobService(
             cfg.name,
             self.incarnation,
             self.place,
             self.shards,
             self.ledger,
-            put,
+            append,
             self._ledger_applied,
             self.loads,
             send,
@@ -193,10 +195,10 @@
             self.configuration,
             self.members,
             self.load_table,
-            self.cell_appender.put,
+            self.cell_appender.append,
             self._cell_applied,
         )
-        self.beats = Beats(self)
+        self.periodic = PeriodicMessages(self)
 
     # Start and stop
 
@@ -205,10 +207,10 @@
         for coro in (
             self.appender.run(),
             self.cell_appender.run(),
-            self.feed.run(),
-            self.beats.run(),
-            self.beats.run_host_list(),
-            self.beats.run_digests(),
+            self.log_reader.run(),
+            self.periodic.run(),
+            self.periodic.run_host_list(),
+            self.periodic.run_digests(),
             self.snapshotter.run(),
             self._run_ownership(),
         ):
@@ -236,17 +238,19 @@
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + self.cfg.drain_s
-        self.state = load_chart("daemon").next(self.state, "stop")
+        self.state = load_chart("daemon").next_state(self.state, "stop")
         self.ownership.draining = True
         self.members.draining = True
-        self.beats.send_heartbeats()
+        self.periodic.send_heartbeats()
         log.info("entry: drain started")
         while loop.time() < deadline:
             holds_shards = any(
-                h.state != "idle" for h in self.ownership.holdings.values()
+                h.state != "idle" for h in self.ownership.shard_claims.values()
             )
             has_work = (
-                self.front.in_progress or self.shards.busy or self.receiver.active
+                self.request_handler.in_progress
+                or self.shards.request_count
+                or self.receiver.running
             )
             if not holds_shards and not has_work and not self.shards.owners:
                 break
@@ -257,7 +261,7 @@
             # Peers that do not know of the drain yet still send work here. It is
             # refused as not run, so that they send it to the next owner.
             await asyncio.sleep(LINGER_TIME)
-        self.state = load_chart("daemon").next(
+        self.state = load_chart("daemon").next_state(
             self.state, "idle" if is_done else "timeout"
         )
         log.info("entry: drain finished" if is_done else "entry: drain timed out")
@@ -288,14 +292,14 @@
 
     def _skip_cell(self, first: int) -> None:
         self.configuration.next_offset = first
-        self.beats.request_revision()
+        self.periodic.request_revision()
 
     def _apply_ledger(self, offset: int, records: list[Record]) -> None:
-        was_whole = self.ledger.whole
+        was_complete = self.ledger.is_complete
         self.ledger.apply(offset, records)
-        if self.ledger.whole and not was_whole:
-            self.shards.hear_snapshot()
-        self.shards.hear_records(records)
+        if self.ledger.is_complete and not was_complete:
+            self.shards.apply_snapshot()
+        self.shards.apply_records(records)
         self._schedule_notify()
 
     def put_in_force(self) -> None:
@@ -305,7 +309,7 @@
         self.shards.configure(cell)
         self.metrics.revision.set(self.configuration.revision)
         if self.state == "starting":
-            self.state = load_chart("daemon").next(self.state, "configured")
+            self.state = load_chart("daemon").next_state(self.state, "configured")
         log.info("entry: revision %d is in force", self.configuration.revision)
 
     def _schedule_notify(self) -> None:
@@ -325,9 +329,9 @@
         async with asyncio.timeout(APPLY_TIMEOUT), self._applied:
             await self._applied.wait_for(predicate)
 
-    def _log_confirmed(self, stream: str, stamp: float) -> None:
-        if stream == dc_stream(self.cfg.data_centre):
-            self.ownership.log_confirmed(stamp)
+    def _confirm_by_log(self, stream: str, stamp: float) -> None:
+        if stream == data_centre_stream(self.cfg.data_centre):
+            self.ownership.confirm_by_log(stamp)
 
     # Requests
 
@@ -350,12 +354,12 @@
     def loads(self) -> list[ShardLoad]:
         """Return the load and owner of every known shard, in all data centres."""
         now = asyncio.get_running_loop().time()
-        loads = self.load_table.near(now)
+        loads = self.load_table.local_loads(now)
         for load in self.shards.loads():
             loads[load.shard] = load
-        return [*loads.values(), *self.load_table.abroad.values()]
+        return [*loads.values(), *self.load_table.remote_loads.values()]
 
-    async def _run_forwarded(self, msg: Forward) -> Answer:
+    async def _run_forwarded(self, msg: Forward) -> UpstreamResponse:
         workload = self.cell().workloads.get(msg.service)
         if workload is None:
             raise Refusal(Reason.UNKNOWN_SERVICE, step="receive")
@@ -369,39 +373,39 @@
         now = asyncio.get_running_loop().time()
         match msg:
             case Heartbeat():
-                self.beats.handle_heartbeat(msg, now)
+                self.periodic.handle_heartbeat(msg, now)
             case LogTail():
-                self.feed.handle_tail(msg, now)
+                self.log_reader.handle_tail(msg, now)
             case LogRecords():
-                self.feed.handle_records(msg)
+                self.log_reader.handle_records(msg)
             case LogFetch():
-                self.feed.handle_fetch(msg)
+                self.log_reader.handle_fetch(msg)
             case Forward():
-                self.receiver.hear(msg)
-            case ForwardAsk():
-                self.receiver.hear_ask(msg)
+                self.receiver.receive(msg)
+            case ForwardQuery():
+                self.receiver.receive_query(msg)
             case ForwardAck():
-                self.forwarder.hear_ack(msg)
+                self.forwarder.receive_ack(msg)
             case Reply():
-                self.forwarder.hear_reply(msg)
+                self.forwarder.receive_reply(msg)
             case JobRequest():
-                self.jobs.hear(msg)
+                self.jobs.receive(msg)
             case JobReply():
-                self.jobs.hear_reply(msg)
+                self.jobs.receive_reply(msg)
             case Digest():
-                self.beats.handle_digest(msg, now)
-            case ListNews():
-                self.beats.handle_host_list(msg)
+                self.periodic.handle_digest(msg, now)
+            case HostListUpdate():
+                self.periodic.handle_host_list(msg)
             case SnapshotWanted():
                 self.snapshotter.write_on_request()
             case RevisionWanted():
-                self.beats.handle_revision_request(msg)
+                self.periodic.handle_revision_request(msg)
             case RevisionOffer():
                 self._handle_offer(msg)
 
     def _handle_offer(self, msg: RevisionOffer) -> None:
         try:
-            if self.configuration.adopt(msg.whole):
+            if self.configuration.apply_if_newer(msg.whole):
                 self.put_in_force()
         except ConfigError as exc:
             log.error("entry: peer offered an invalid revision: %s", exc)
--- a/siskinroad/forwarding.py
+++ b/siskinroad/forwarding.py
@@ -14,8 +14,8 @@
 from dataclasses import dataclass
 
 from siskinroad.errors import Outcome, Reason, Refusal
-from siskinroad.messages import Forward, ForwardAck, ForwardAsk, Message, Reply
-from siskinroad.upstreams import Answer
+from siskinroad.messages import Forward, ForwardAck, ForwardQuery, Message, Reply
+from siskinroad.upstreams import UpstreamResponse
 
 __all__ = ["Forwarder", "Receiver"]
 
@@ -63,7 +63,7 @@
         self._sequence += 1
         return f"{self.name}.{self.incarnation}.{self._sequence}"
 
-    async def forward(self, peer: str, msg: Forward) -> Answer:
+    async def forward(self, peer: str, msg: Forward) -> UpstreamResponse:
         """Forward a request to the owner and return its complete answer.
 
         Raises
@@ -90,18 +90,18 @@
         while not pending.fut.done():
             if loop.time() - pending.last_ack_at >= PEER_SILENCE_TIMEOUT:
                 raise _peer_lost_refusal(peer)
-            self.send(peer, ForwardAsk(self.name, msg.id) if pending.acked else msg)
+            self.send(peer, ForwardQuery(self.name, msg.id) if pending.acked else msg)
             await asyncio.wait({pending.fut}, timeout=RESEND_INTERVAL)
         return pending.fut.result()
 
-    def hear_ack(self, msg: ForwardAck) -> None:
+    def receive_ack(self, msg: ForwardAck) -> None:
         """Record that the peer has received a request."""
         pending = self._pending.get(msg.id)
         if pending is not None:
             pending.acked = True
             pending.last_ack_at = asyncio.get_running_loop().time()
 
-    def hear_reply(self, msg: Reply) -> bool:
+    def receive_reply(self, msg: Reply) -> bool:
         """Complete a pending request; return False if it is no longer pending."""
         pending = self._pending.get(msg.id)
         if pending is None or pending.fut.done():
@@ -120,9 +120,9 @@
     )
 
 
-def _to_answer(reply: Reply, peer: str) -> Answer:
+def _to_answer(reply: Reply, peer: str) -> UpstreamResponse:
     if not reply.reason:
-        return Answer(reply.status, reply.body, reply.content_type)
+        return UpstreamResponse(reply.status, reply.body, reply.content_type)
     raise Refusal(
         Reason(reply.reason),
         step=reply.step,
@@ -146,34 +146,34 @@
         self,
         incarnation: int,
         send: Send,
-        run: Callable[[Forward], Awaitable[Answer]],
+        run: Callable[[Forward], Awaitable[UpstreamResponse]],
     ) -> None:
         self.incarnation = incarnation
         self.send = send
         self.run = run
-        self.active: dict[str, asyncio.Task[None]] = {}
+        self.running: dict[str, asyncio.Task[None]] = {}
         self._replies: OrderedDict[str, Reply] = OrderedDict()
         self._kept_bytes = 0
         self._seen_ids: OrderedDict[str, None] = OrderedDict()
 
-    def hear(self, msg: Forward) -> None:
+    def receive(self, msg: Forward) -> None:
         """Handle a forwarded request, which may be a repetition."""
         reply = self._replies.get(msg.id)
         if reply is not None:
             self.send(msg.name, reply)
-        elif msg.id in self.active:
+        elif msg.id in self.running:
             self.send(msg.name, ForwardAck(msg.id))
         elif msg.id in self._seen_ids or msg.incarnation != self.incarnation:
             self.send(msg.name, _refusal_reply(msg.id, _peer_lost_refusal("")))
         else:
             self._start(msg)
 
-    def hear_ask(self, msg: ForwardAsk) -> None:
+    def receive_query(self, msg: ForwardQuery) -> None:
         """Reply to a peer that polls for the reply to its request."""
         reply = self._replies.get(msg.id)
         if reply is not None:
             self.send(msg.name, reply)
-        elif msg.id in self.active:
+        elif msg.id in self.running:
             self.send(msg.name, ForwardAck(msg.id))
         else:
             self.send(msg.name, _refusal_reply(msg.id, _peer_lost_refusal("")))
@@ -184,7 +184,7 @@
             self._seen_ids.popitem(last=False)
         self.send(msg.name, ForwardAck(msg.id))
         task = asyncio.get_running_loop().create_task(self._serve(msg))
-        self.active[msg.id] = task
+        self.running[msg.id] = task
 
     async def _serve(self, msg: Forward) -> None:
         try:
@@ -202,7 +202,7 @@
             )
             reply = _refusal_reply(msg.id, refusal)
         finally:
-            del self.active[msg.id]
+            del self.running[msg.id]
         self._keep_reply(reply)
         self.send(msg.name, reply)
 
--- a/siskinroad/jobs.py
+++ b/siskinroad/jobs.py
@@ -17,14 +17,14 @@
 
 from siskinroad.cell import Cell, Workload
 from siskinroad.errors import Outcome, PlatformError, Reason, Refusal
-from siskinroad.front import home_data_centre_of
 from siskinroad.ledger import JobState, Ledger
 from siskinroad.messages import JobReply, JobRequest, Message
 from siskinroad.records import JobAccepted, JobCancelled, Record
-from siskinroad.routing import Place, ShardLoad, choose
-from siskinroad.shards import ShardSet
+from siskinroad.request_handler import home_data_centre_of
+from siskinroad.routing import Place, ShardLoad, choose_shard
+from siskinroad.shards import OwnedShards
 
-__all__ = ["JobDesk", "JobView", "data_centre_of"]
+__all__ = ["JobService", "JobView", "data_centre_of"]
 
 # Seconds after which the append of a job's record fails; it may be stored
 # nevertheless, so the outcome is then unknown.
@@ -48,7 +48,7 @@
 # Seconds between two attempts within that time.
 NO_OWNER_RETRY_INTERVAL = 0.1
 # Refusals after which a submission is tried again within that time.
-RETRIED_REASONS = (Reason.NO_OWNER, Reason.HOME_UNREACHABLE)
+RETRIED_REASONS = (Reason.NO_OWNER, Reason.HOME_DATA_CENTRE_UNREACHABLE)
 
 
 class JobView(msgspec.Struct, frozen=True):
@@ -77,7 +77,7 @@
     return job.rpartition(".")[0]
 
 
-class JobDesk:
+class JobService:
     """Service for jobs, which calls the daemon that owns a job's shard if needed."""
 
     def __init__(
@@ -85,9 +85,9 @@
         name: str,
         incarnation: int,
         place: Place,
-        shards: ShardSet,
+        shards: OwnedShards,
         ledger: Ledger,
-        put: Callable[[Record, float], asyncio.Future[int]],
+        append: Callable[[Record, float], asyncio.Future[int]],
         wait_applied: Callable[[int], Awaitable[None]],
         loads: Callable[[], list[ShardLoad]],
         send: Callable[[str, Message], None],
@@ -99,7 +99,7 @@
         self.place = place
         self.shards = shards
         self.ledger = ledger
-        self.put = put
+        self.append = append
         self.wait_applied = wait_applied
         self.loads = loads
         self.send = send
@@ -157,12 +157,12 @@
         if key:
             home = home_data_centre_of(cell, workload, key, self.place)
             loads = [load for load in loads if load.place.data_centre == home]
-        near = [load for load in loads if load.place == self.place]
-        load = choose(workload, near, self.place, set(), now, self.rng)
+        local_loads = [load for load in loads if load.place == self.place]
+        load = choose_shard(workload, local_loads, self.place, set(), now, self.rng)
         if load is None:
-            load = choose(workload, loads, self.place, set(), now, self.rng)
+            load = choose_shard(workload, loads, self.place, set(), now, self.rng)
         if load is None:
-            reason = Reason.HOME_UNREACHABLE if key else Reason.NO_OWNER
+            reason = Reason.HOME_DATA_CENTRE_UNREACHABLE if key else Reason.NO_OWNER
             raise Refusal(reason, step="submit", retry_after=1.0)
         return load
 
@@ -209,7 +209,7 @@
         for load in self.loads():
             if load.place.data_centre == centre and load.owner:
                 return load.owner
-        raise Refusal(Reason.HOME_UNREACHABLE, step="job", retry_after=2.0)
+        raise Refusal(Reason.HOME_DATA_CENTRE_UNREACHABLE, step="job", retry_after=2.0)
 
     async def _call_owner(
         self,
@@ -263,7 +263,7 @@
             peer=owner,
         )
 
-    def hear_reply(self, msg: JobReply) -> None:
+    def receive_reply(self, msg: JobReply) -> None:
         """Complete a pending request with the owner's reply."""
         pending = self._pending.get(msg.id)
         if pending is not None and not pending.fut.done():
@@ -271,7 +271,7 @@
 
     # At the daemon that owns the job's shard
 
-    def hear(self, msg: JobRequest) -> None:
+    def receive(self, msg: JobRequest) -> None:
         """Serve a peer's request; ignore a repetition while it is being served."""
         if msg.id in self._serving:
             return
@@ -334,13 +334,13 @@
         workload = owner.scheduler.shard.cell.workloads.get(msg.workload)
         if workload is None or workload.kind == "service":
             raise Refusal(Reason.UNKNOWN_SERVICE, step="submit", message=msg.workload)
-        why = owner.scheduler.why_never(workload)
+        why = owner.scheduler.never_runnable_reason(workload)
         if why:
             raise Refusal(Reason.CAN_NEVER_RUN, step="submit", message=why)
         waiting = owner.scheduler.shard.waiting.lane(workload).live
         if waiting + msg.count > workload.queue_limit:
             raise Refusal(Reason.QUEUE_FULL, step="submit", retry_after=5.0)
-        if not owner.scheduler.shard.door.admits(
+        if not owner.scheduler.shard.admission_limit.admits(
             len(owner.scheduler.shard.items) + msg.count, workload.urgency
         ):
             raise Refusal(Reason.SHED, step="submit", retry_after=5.0)
@@ -348,7 +348,7 @@
 
     async def _record(self, record: Record) -> None:
         try:
-            offset = await self.put(record, RECORD_TIMEOUT)
+            offset = await self.append(record, RECORD_TIMEOUT)
             await self.wait_applied(offset)
         except (PlatformError, TimeoutError):
             raise Refusal(
--- a/siskinroad/logfeed.py
+++ b/siskinroad/log_reader.py
@@ -19,7 +19,7 @@
 from siskinroad.platform import Platform
 from siskinroad.records import Record, decode_batch
 
-__all__ = ["LogFeed", "Stream"]
+__all__ = ["LogReader", "Stream"]
 
 # Longest seconds between two reads of the log. Reads confirm claims, so that a value
 # near ``LEASE_TIME`` lets them expire; a smaller one loads the platform.
@@ -89,7 +89,7 @@
             self.recent_bytes -= len(self.recent.popleft()[1])
 
 
-class LogFeed:
+class LogReader:
     """Reader of the log's streams, directly or through the data centre's reader.
 
     Parameters
@@ -132,7 +132,7 @@
 
     def is_reading(self, now: float) -> bool:
         """Return whether this daemon reads the log itself at ``now``."""
-        if self.members.reader(now) == self.name:
+        if self.members.log_reader_name(now) == self.name:
             return True
         return any(
             now - s.tail_received_at > TAIL_TIMEOUT for s in self.streams.values()
@@ -166,7 +166,7 @@
 
     async def _read_all(self) -> bool:
         now = asyncio.get_running_loop().time()
-        stamps = {m.name: m.stamp for m in self.members.alive(now)}
+        stamps = {m.name: m.stamp for m in self.members.alive_members(now)}
         results = [await self._read(stream) for stream in self.streams.values()]
         if not all(results):
             self.failures += 1
@@ -188,9 +188,9 @@
                 page = await self.platform.read(stream.name, start, PAGE_APPENDS)
             except LogTrimmedError as exc:
                 log.warning(
-                    "log: %s was trimmed, skipping to %d", stream.name, exc.first
+                    "log: %s was trimmed, skipping to %d", stream.name, exc.first_offset
                 )
-                stream.skip(exc.first)
+                stream.skip(exc.first_offset)
                 continue
             except PlatformError:
                 return False
@@ -229,9 +229,9 @@
         self, stream: Stream, start: int, records: list[bytes]
     ) -> None:
         now = asyncio.get_running_loop().time()
-        if self.members.reader(now) != self.name:
+        if self.members.log_reader_name(now) != self.name:
             return
-        for member in self.members.alive(now):
+        for member in self.members.alive_members(now):
             self.send(member.name, LogRecords(stream.name, start, records))
 
     # Messages from peers
@@ -270,11 +270,13 @@
         if now - stream.fetch_sent_at < FETCH_INTERVAL:
             return
         stream.fetch_sent_at = now
-        reader = self.members.reader(now)
-        if reader == self.name:
+        log_reader_name = self.members.log_reader_name(now)
+        if log_reader_name == self.name:
             self.wake()
         else:
-            self.send(reader, LogFetch(self.name, stream.name, stream.next_offset()))
+            self.send(
+                log_reader_name, LogFetch(self.name, stream.name, stream.next_offset())
+            )
 
     def handle_fetch(self, msg: LogFetch) -> None:
         """Send a lagging peer the recent records that it requests.
--- a/siskinroad/operators.py
+++ b/siskinroad/operators.py
@@ -11,12 +11,12 @@
 from siskinroad.httpd import HttpRequest, HttpResponse
 from siskinroad.replies import json_response
 from siskinroad.settings import hash_token
-from siskinroad.status import queue_of, report_of, status_of
+from siskinroad.status import build_report, build_status, list_queue
 
 if TYPE_CHECKING:
     from siskinroad.entry import Daemon
 
-__all__ = ["Operators"]
+__all__ = ["OperatorApi"]
 
 METRICS_TYPE = "text/plain; version=0.0.4; charset=utf-8"
 # Paths that are served without a token.
@@ -25,7 +25,7 @@
 log = logging.getLogger("siskinroad.operators")
 
 
-class Operators:
+class OperatorApi:
     """Request handler of the operators' listener.
 
     All paths except health and metrics need the operators' token, if one is set.
@@ -72,11 +72,11 @@
                 self._update_gauges()
                 return HttpResponse(200, daemon.metrics.render(), METRICS_TYPE)
             case ("GET", "/v1/status"):
-                return json_response(200, status_of(daemon))
+                return json_response(200, build_status(daemon))
             case ("GET", "/v1/queue"):
-                return json_response(200, queue_of(daemon))
+                return json_response(200, list_queue(daemon))
             case ("GET", "/v1/report"):
-                return json_response(200, report_of(daemon))
+                return json_response(200, build_report(daemon))
             case ("GET", path) if path.startswith("/v1/explain/"):
                 key = path.removeprefix("/v1/explain/")
                 return json_response(200, {"text": await self._explain(key)})
@@ -101,7 +101,7 @@
                 return json_response(200, body)
             case "POST":
                 cell = parse_cell(text)
-                config.check_moves(cell)
+                config.check_no_host_moves(cell)
                 lines = diff(config.cell, cell)
                 return json_response(200, {"revision": config.revision, "diff": lines})
             case "PUT":
@@ -122,13 +122,13 @@
         used = [0, 0, 0]
         total = [0, 0, 0]
         for owner in daemon.shards.owners.values():
-            part, whole = owner.used()
+            part, whole = owner.usage_and_capacity()
             for i, name in enumerate(("cpu_milli", "memory_mib", "accelerators")):
                 used[i] += getattr(part, name)
                 total[i] += getattr(whole, name)
         for i, name in enumerate(("processors", "memory", "accelerators")):
             ratio = used[i] / total[i] if total[i] else 0.0
-            metrics.packing.labels(name).set(ratio)
-        for kind, size in daemon.peers.traffic.sent.items():
+            metrics.packing_ratio.labels(name).set(ratio)
+        for kind, size in daemon.peers.traffic.bytes_sent.items():
             distance = "far" if kind == "Digest" else "near"
-            metrics.peer_bytes.labels(kind, distance).set(size)
+            metrics.peer_sent_bytes.labels(kind, distance).set(size)
--- a/siskinroad/owner.py
+++ b/siskinroad/owner.py
@@ -10,20 +10,20 @@
 from siskinroad.cell import Cell, Host
 from siskinroad.effects import ControlTask, Effect, Finished, Refused, StartTask
 from siskinroad.errors import NotSentError, OutcomeUnknownError, StaleEpochError
-from siskinroad.hostwatch import HostWatch, watch_host
+from siskinroad.host_monitor import HostMonitor, monitor_host
 from siskinroad.names import attempt_name
-from siskinroad.ownerview import OwnerPorts
-from siskinroad.requests import Requests
+from siskinroad.owner_context import OwnerPorts
+from siskinroad.requests import RequestTable
 from siskinroad.resources import Resources
-from siskinroad.scheduler import TICK_TIME, Scheduler
-from siskinroad.tasks import Tasks
+from siskinroad.scheduler import TICK_INTERVAL, Scheduler
+from siskinroad.tasks import TaskTable
 
 __all__ = ["ShardOwner"]
 
 # Seconds between checks for task starts in flight during a release. A longer one
 # delays the handover of the shard.
 RELEASE_POLL_INTERVAL = 0.02
-# Shortest sleep between scheduler ticks, in seconds; the longest is ``TICK_TIME``.
+# Shortest sleep between scheduler ticks, in seconds; the longest is ``TICK_INTERVAL``.
 # Without it, a timer that is already due would make the loop spin.
 MIN_TICK_INTERVAL = 0.01
 
@@ -50,14 +50,14 @@
         self.epoch = epoch
         self.ports = ports
         self.scheduler = Scheduler(cell, ports.rng, now)
-        self.scheduler.paused = True
-        self.stale = False
-        self.watches: dict[str, HostWatch] = {}
-        self.requests = Requests(self)
-        self.tasks = Tasks(self)
+        self.scheduler.is_paused = True
+        self.is_stale = False
+        self.monitors: dict[str, HostMonitor] = {}
+        self.requests = RequestTable(self)
+        self.tasks = TaskTable(self)
         self._in_flight: set[asyncio.Task[None]] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self.closed = False
+        self.is_closed = False
         for host in hosts:
             self._add_host(host)
 
@@ -67,34 +67,34 @@
 
     def _add_host(self, host: Host) -> None:
         self.scheduler.add_host(host, self.now())
-        self.watches[host.name] = HostWatch(host)
+        self.monitors[host.name] = HostMonitor(host)
 
     # Lifecycle
 
     async def take_over(self) -> None:
         """Fetch the inventory of every host, then start to place work."""
         async with asyncio.TaskGroup() as group:
-            for watch in self.watches.values():
-                group.create_task(self._fetch_first_inventory(watch))
-        if self.closed:
+            for monitor in self.monitors.values():
+                group.create_task(self._fetch_first_inventory(monitor))
+        if self.is_closed:
             return
-        for watch in self.watches.values():
-            self.spawn(watch_host(self, watch))
+        for monitor in self.monitors.values():
+            self.spawn(monitor_host(self, monitor))
         self.spawn(self._tick())
         self.tasks.queue_missing()
         self.resume()
 
-    async def _fetch_first_inventory(self, watch: HostWatch) -> None:
-        await watch.fetch_inventory(self, wait=0.0, renew=True)
+    async def _fetch_first_inventory(self, monitor: HostMonitor) -> None:
+        await monitor.fetch_inventory(self, wait=0.0, renew=True)
 
     def resume(self) -> None:
         """Place work again; called once ownership of the shard is certain."""
-        if not self.closed:
+        if not self.is_closed:
             self.run(self.scheduler.resume(self.now()))
 
     def suspend(self, *, requests: bool = False) -> None:
         """Place no work until resumed; with ``requests``, still place requests."""
-        self.scheduler.paused = not requests
+        self.scheduler.is_paused = not requests
         self.scheduler.requests_only = requests
 
     async def release(self) -> None:
@@ -104,7 +104,7 @@
         inventories.
         """
         self.suspend()
-        while any(watch.starting for watch in self.watches.values()):
+        while any(monitor.starting for monitor in self.monitors.values()):
             await asyncio.sleep(RELEASE_POLL_INTERVAL)
 
     def close(self) -> None:
@@ -113,13 +113,13 @@
         Queued requests are refused as not run, so that the daemons that
         received them from callers send them to the next owner.
         """
-        self.closed = True
-        self.scheduler.paused = True
+        self.is_closed = True
+        self.scheduler.is_paused = True
         self.requests.refuse_unsent()
         for task in self._tasks - self._in_flight:
             task.cancel()
 
-    async def idle(self) -> None:
+    async def wait_idle(self) -> None:
         """Wait until every request and task start in flight has completed."""
         while self._in_flight:
             await asyncio.wait(set(self._in_flight))
@@ -146,24 +146,24 @@
 
     async def _tick(self) -> None:
         while True:
-            pause = self.scheduler.next_time() - self.now()
-            await asyncio.sleep(min(max(pause, MIN_TICK_INTERVAL), TICK_TIME))
+            pause = self.scheduler.next_tick_time() - self.now()
+            await asyncio.sleep(min(max(pause, MIN_TICK_INTERVAL), TICK_INTERVAL))
             self.run(self.scheduler.tick(self.now()))
 
     def configure(self, cell: Cell, hosts: list[Host]) -> None:
         """Apply a new cell configuration: remove, add and update hosts."""
         now = self.now()
         names = {host.name for host in hosts}
-        for name in [name for name in self.watches if name not in names]:
-            watch = self.watches.pop(name)
-            watch.removed = True
+        for name in [name for name in self.monitors if name not in names]:
+            monitor = self.monitors.pop(name)
+            monitor.is_removed = True
             self.run(self.scheduler.remove_host(name, now))
         self.run(self.scheduler.configure(cell, now))
         for host in hosts:
-            if host.name not in self.watches:
+            if host.name not in self.monitors:
                 self._add_host(host)
-                self.spawn(watch_host(self, self.watches[host.name]))
-            self.watches[host.name].host = host
+                self.spawn(monitor_host(self, self.monitors[host.name]))
+            self.monitors[host.name].host = host
 
     def host_event(self, name: str, event: str) -> None:
         """Apply an event of the ``upstream`` chart to a host."""
@@ -171,8 +171,8 @@
 
     def mark_stale(self) -> None:
         """Stop placing work after a host has rejected this owner's epoch as stale."""
-        if not self.stale:
-            self.stale = True
+        if not self.is_stale:
+            self.is_stale = True
             self.suspend()
             log.warning(
                 "owner: a host rejected epoch %d of shard %s as stale; placing no more",
@@ -212,46 +212,48 @@
             # Recorded before the coroutine first runs: the inventory being applied
             # now may be older than this decision and must not end the attempt as
             # lost.
-            self.watches[host].starting.add(attempt_name(effect.attempt, member))
+            self.monitors[host].starting.add(attempt_name(effect.attempt, member))
             self._in_flight.add(self.spawn(self.tasks.start(effect, member)))
 
     async def _control(self, effect: ControlTask) -> None:
-        watch = self.watches.get(effect.host)
-        if watch is None or effect.key in self.requests:
+        monitor = self.monitors.get(effect.host)
+        if monitor is None or effect.key in self.requests:
             return
         attempt = attempt_name(effect.attempt, effect.member)
-        self.ports.count_event("control", effect.do.value)
+        self.ports.count_event("control", effect.action.value)
         try:
             await self.ports.upstreams.control(
-                watch.host, self.epoch, attempt, effect.do
+                monitor.host, self.epoch, attempt, effect.action
             )
         except StaleEpochError:
             self.mark_stale()
         except (NotSentError, OutcomeUnknownError):
-            watch.controls_to_retry.append(effect)
+            monitor.controls_to_retry.append(effect)
 
     # State for peers and status pages
 
     def free_slots(self) -> int:
         """Return the free slots on all hosts; 0 while no work is placed."""
-        if self.scheduler.paused:
+        if self.scheduler.is_paused:
             return 0
         pools = self.scheduler.shard.pools.values()
         return sum(state.index.free_slots for state in pools)
 
-    def waits(self) -> dict[str, float]:
+    def expected_waits(self) -> dict[str, float]:
         """Return the expected wait in seconds by workload, where above 0.01 s."""
         now = self.now()
         lanes = self.scheduler.shard.waiting.lanes
-        waits = {name: lane.expected_wait(now) for name, lane in lanes.items()}
-        return {name: round(wait, 2) for name, wait in waits.items() if wait > 0.01}
+        expected_waits = {name: lane.expected_wait(now) for name, lane in lanes.items()}
+        return {
+            name: round(wait, 2) for name, wait in expected_waits.items() if wait > 0.01
+        }
 
-    def used(self) -> tuple[Resources, Resources]:
+    def usage_and_capacity(self) -> tuple[Resources, Resources]:
         """Return the allocated resources and the capacity of all open hosts."""
         used = Resources()
         total = Resources()
         for view in self.scheduler.shard.views():
-            if view.open:
+            if view.is_open:
                 used = used + view.used()
                 total = total + view.capacity
         return used, total
--- a/siskinroad/ownerview.py
+++ b/siskinroad/owner_context.py
@@ -11,9 +11,9 @@
 from siskinroad.cell import Workload
 from siskinroad.effects import Effect
 from siskinroad.scheduler import Scheduler
-from siskinroad.upstreams import Upstreams
+from siskinroad.upstreams import UpstreamClient
 
-__all__ = ["OwnerPorts", "OwnerView"]
+__all__ = ["OwnerContext", "OwnerPorts"]
 
 
 @dataclass(slots=True, frozen=True)
@@ -24,7 +24,7 @@
     ----------
     may_place : callable
         Returns whether requests may be sent to the shard's hosts now.
-    is_certain : callable
+    may_start_tasks : callable
         Returns whether ownership is certain, so that tasks may be started now.
     record_end : callable
         Stores the final outcome of a task, given job, task index and outcome;
@@ -35,23 +35,23 @@
         Adds an item's wait before its start, in seconds, to the metrics.
     """
 
-    upstreams: Upstreams
+    upstreams: UpstreamClient
     may_place: Callable[[], bool]
-    is_certain: Callable[[], bool]
+    may_start_tasks: Callable[[], bool]
     record_end: Callable[[str, int, str], asyncio.Future[int]]
     count_event: Callable[[str, str], None]
     observe_wait: Callable[[Workload, float], None]
     rng: random.Random
 
 
-class OwnerView(Protocol):
+class OwnerContext(Protocol):
     """Context that a shard's owner gives its parts.
 
     Attributes
     ----------
     shard, epoch : str, int
         The claim under which it places work; the epoch is the fencing token.
-    closed : bool
+    is_closed : bool
         Whether it has stopped scheduling.
     """
 
@@ -59,7 +59,7 @@
     epoch: int
     ports: OwnerPorts
     scheduler: Scheduler
-    closed: bool
+    is_closed: bool
 
     def now(self) -> float:
         """Return the event loop's time in seconds."""
--- a/siskinroad/placement.py
+++ b/siskinroad/placement.py
@@ -30,7 +30,7 @@
         Total resources of the host.
     cpu, memory, accelerators, slots : int
         Unallocated resources; never negative.
-    open : bool
+    is_open : bool
         Whether new work may be placed on the host.
     limit : int
         Concurrent tasks that are allowed now, at most the host's slots.
@@ -40,7 +40,7 @@
         Number of tasks on the host, by workload.
     levels : list of int
         Level in each row of the index; empty if the host is not indexed.
-    counted : bool
+    is_counted : bool
         Whether the sums of the index include the host.
     """
 
@@ -51,13 +51,13 @@
     memory: int = 0
     accelerators: int = 0
     slots: int = 0
-    open: bool = False
+    is_open: bool = False
     limit: int = 0
     state: str = "unseen"
     tasks: dict[str, Resources] = field(default_factory=dict)
     members: dict[str, int] = field(default_factory=dict)
     levels: list[int] = field(default_factory=list)
-    counted: bool = False
+    is_counted: bool = False
 
     def __post_init__(self) -> None:
         self.cpu = self.capacity.cpu_milli
@@ -76,7 +76,7 @@
             and self.capacity.slots - self.slots < self.limit
         )
 
-    def count(self, need: Resources) -> int:
+    def count_fitting(self, need: Resources) -> int:
         """Return how many tasks that each take ``need`` fit on the host."""
         free_tasks = min(self.slots, self.limit - (self.capacity.slots - self.slots))
         best = free_tasks // max(need.slots, 1)
@@ -133,16 +133,16 @@
         """Remove a host and return it, or None if it is not indexed."""
         host = self.hosts.pop(name, None)
         if host is not None:
-            host.open = False
+            host.is_open = False
             self.refresh(host)
         return host
 
     def refresh(self, host: HostView) -> None:
-        """Update a host's levels after ``open`` or its free capacity has changed."""
-        if host.counted != host.open:
-            host.counted = host.open
-            self._add_to_sums(host, 1 if host.open else -1)
-        levels = self._levels_of(host) if host.open and host.slots > 0 else []
+        """Update a host's levels after ``is_open`` or its free capacity has changed."""
+        if host.is_counted != host.is_open:
+            host.is_counted = host.is_open
+            self._add_to_sums(host, 1 if host.is_open else -1)
+        levels = self._levels_of(host) if host.is_open and host.slots > 0 else []
         if levels == host.levels:
             return
         for row, level in zip(self._rows, host.levels, strict=False):
@@ -181,14 +181,16 @@
         best = max(range(len(parts)), key=parts.__getitem__)
         return self._rows[best], int(parts[best] * self._level_counts[best])
 
-    def take(self, host: HostView, task: str, need: Resources, workload: str) -> None:
+    def allocate(
+        self, host: HostView, task: str, need: Resources, workload: str
+    ) -> None:
         """Allocate ``need`` on a host to a task."""
         assert task not in host.tasks
         host.tasks[task] = need
         host.members[workload] = host.members.get(workload, 0) + 1
-        self._change(host, need, -1)
+        self._adjust(host, need, -1)
 
-    def give_back(self, host: HostView, task: str, workload: str) -> None:
+    def release(self, host: HostView, task: str, workload: str) -> None:
         """Release the resources of a task."""
         need = host.tasks.pop(task)
         remaining = host.members[workload] - 1
@@ -196,29 +198,29 @@
             host.members[workload] = remaining
         else:
             del host.members[workload]
-        self._change(host, need, 1)
+        self._adjust(host, need, 1)
 
     def resize(self, host: HostView, task: str, need: Resources) -> None:
         """Change the allocation of a task, up to the free capacity of the host."""
-        self._change(host, host.tasks[task], 1)
+        self._adjust(host, host.tasks[task], 1)
         free = Resources(host.cpu, host.memory, need.accelerators, need.slots)
         need = need.clip(free)
         host.tasks[task] = need
-        self._change(host, need, -1)
+        self._adjust(host, need, -1)
 
-    def _change(self, host: HostView, need: Resources, sign: int) -> None:
+    def _adjust(self, host: HostView, need: Resources, sign: int) -> None:
         host.cpu += sign * need.cpu_milli
         host.memory += sign * need.memory_mib
         host.accelerators += sign * need.accelerators
         host.slots += sign * need.slots
-        if host.counted:
+        if host.is_counted:
             self.free_cpu += sign * need.cpu_milli
             self.free_memory += sign * need.memory_mib
             self.free_accelerators += sign * need.accelerators
             self.free_slots += sign * need.slots
         self.refresh(host)
 
-    def tightest(
+    def best_fit(
         self, need: Resources, avoid: set[str], reserved: set[str]
     ) -> HostView | None:
         """Return the fitting host with the least free capacity, accelerators first.
@@ -240,7 +242,7 @@
             lambda host: (host.accelerators, host.memory),
         )
 
-    def widest(
+    def least_loaded(
         self, need: Resources, avoid: set[str], reserved: set[str], workload: str
     ) -> HostView | None:
         """Return a fitting host from among those with the most free capacity.
@@ -279,7 +281,7 @@
                 break
         return min(found, key=key) if found else None
 
-    def whole(
+    def place_gang(
         self, need: Resources, size: int, avoid: set[str], reserved: set[str]
     ) -> list[tuple[HostView, int]] | None:
         """Return hosts for a gang of ``size`` tasks, each with its count, or None.
@@ -294,13 +296,13 @@
         for host in self._descending(need):
             if host.name in excluded:
                 continue
-            fit_count = host.count(need)
+            fit_count = host.count_fitting(need)
             if fit_count <= 0:
                 continue
             if fit_count >= remaining:
                 taken = excluded | {view.name for view, _ in chosen}
-                tightest_host = self.tightest(need.times(remaining), taken, set())
-                chosen.append((tightest_host or host, remaining))
+                best_fit_host = self.best_fit(need.times(remaining), taken, set())
+                chosen.append((best_fit_host or host, remaining))
                 return chosen
             chosen.append((host, fit_count))
             remaining -= fit_count
--- a/siskinroad/platform_memory.py
+++ b/siskinroad/platform_memory.py
@@ -9,7 +9,7 @@
 from siskinroad.errors import LogTrimmedError, PlatformError
 from siskinroad.platform import HostList, HostState, ListedHost, LogPage, Platform
 
-__all__ = ["MemoryLog", "MemoryPlatform", "PlatformFaults"]
+__all__ = ["MemoryPlatform", "MemoryPlatformState", "PlatformFaults"]
 
 # Largest record that an append accepts.
 MAX_RECORD_BYTES = 1 << 20
@@ -23,7 +23,7 @@
     ----------
     down : bool
         All calls fail, and appends have no effect.
-    lose_answers : int
+    lost_replies : int
         Number of following appends that take effect although their replies are lost.
     delay : float
         Delay of each call, in seconds.
@@ -32,7 +32,7 @@
     """
 
     down: bool = False
-    lose_answers: int = 0
+    lost_replies: int = 0
     delay: float = 0.0
     cut: set[str] = field(default_factory=set)
 
@@ -48,14 +48,14 @@
 
 
 @dataclass(slots=True)
-class MemoryLog:
+class MemoryPlatformState:
     """State shared by all clients of one in-memory platform.
 
     Attributes
     ----------
     retention : int
         Maximum number of records retained per stream.
-    listed : dict
+    host_lists : dict
         State of each listed host, by data centre and host name.
     appends, reads : int
         Number of appends and reads since the start.
@@ -65,7 +65,7 @@
 
     retention: int = 100_000
     faults: PlatformFaults = field(default_factory=PlatformFaults)
-    listed: dict[str, dict[str, HostState]] = field(default_factory=dict)
+    host_lists: dict[str, dict[str, HostState]] = field(default_factory=dict)
     list_version: int = 1
     appends: int = 0
     reads: int = 0
@@ -97,9 +97,9 @@
         self.bytes_out += sum(map(len, records))
         return LogPage(log.first, log.first + low, records, log.tail)
 
-    def set_listed(self, data_centre: str, name: str, state: HostState) -> None:
+    def set_host_state(self, data_centre: str, name: str, state: HostState) -> None:
         """Set the state of a host in the list of its data centre."""
-        self.listed.setdefault(data_centre, {})[name] = state
+        self.host_lists.setdefault(data_centre, {})[name] = state
         self.list_version += 1
 
     def trim(self, stream: str, first: int) -> None:
@@ -111,17 +111,17 @@
 
 
 class MemoryPlatform(Platform):
-    """One client of a ``MemoryLog``.
+    """One client of a ``MemoryPlatformState``.
 
     Parameters
     ----------
-    log : MemoryLog
+    log : MemoryPlatformState
         The shared state.
     client : str
         Name of this client in ``PlatformFaults.cut``.
     """
 
-    def __init__(self, log: MemoryLog, client: str = "") -> None:
+    def __init__(self, log: MemoryPlatformState, client: str = "") -> None:
         self.log = log
         self.client = client
 
@@ -134,8 +134,8 @@
                 step="platform.append",
             )
         offset = self.log.append(stream, data)
-        if self.log.faults.lose_answers > 0:
-            self.log.faults.lose_answers -= 1
+        if self.log.faults.lost_replies > 0:
+            self.log.faults.lost_replies -= 1
             raise PlatformError("reply lost", step="platform.append")
         return offset
 
@@ -150,8 +150,10 @@
         version = str(self.log.list_version)
         if version == known:
             return HostList(version, None)
-        listed = self.log.listed.get(data_centre, {})
-        return HostList(version, [ListedHost(n, state) for n, state in listed.items()])
+        host_lists = self.log.host_lists.get(data_centre, {})
+        return HostList(
+            version, [ListedHost(n, state) for n, state in host_lists.items()]
+        )
 
     async def _apply_faults(self, step: str) -> None:
         faults = self.log.faults
--- a/siskinroad/publisher.py
+++ b/siskinroad/publisher.py
@@ -14,11 +14,11 @@
 from siskinroad.cell import digest, parse_cell
 from siskinroad.configuration import Configuration
 from siskinroad.errors import ConflictError, PlatformError
-from siskinroad.loads import LoadTable
+from siskinroad.load_reports import LoadTable
 from siskinroad.membership import Membership
 from siskinroad.records import Record
 
-__all__ = ["Applied", "Publisher"]
+__all__ = ["ApplyResult", "Publisher"]
 
 # Seconds to wait until the log confirms the append. After that the operator is told
 # that the outcome is unknown, so a smaller value reports this for slow appends.
@@ -30,7 +30,7 @@
 POLL_INTERVAL = 0.1
 
 
-class Applied(msgspec.Struct, frozen=True):
+class ApplyResult(msgspec.Struct, frozen=True):
     """Result of applying a cell file.
 
     Attributes
@@ -81,7 +81,9 @@
         self.append = append
         self.wait_applied = wait_applied
 
-    async def apply(self, text: str, expect: int | None, wait: bool = True) -> Applied:
+    async def apply(
+        self, text: str, expect: int | None, wait: bool = True
+    ) -> ApplyResult:
         """Put a cell file in force.
 
         The call is idempotent: it may be repeated if its reply was lost.
@@ -110,9 +112,9 @@
             return await self._await_in_force(config.revision, False, wait)
         if expect is not None and expect != config.revision:
             raise _conflict_error(config.revision)
-        config.check_moves(cell)
+        config.check_no_host_moves(cell)
         base = config.revision
-        offset = await self.append(config.successor(text, key), APPEND_TIMEOUT)
+        offset = await self.append(config.make_revision(text, key), APPEND_TIMEOUT)
         try:
             await self.wait_applied(offset)
         except TimeoutError:
@@ -125,19 +127,19 @@
 
     async def _await_in_force(
         self, revision: int, changed: bool, wait: bool
-    ) -> Applied:
+    ) -> ApplyResult:
         loop = asyncio.get_running_loop()
         deadline = loop.time() + (IN_FORCE_TIMEOUT if wait else 0.0)
         while True:
             current, behind = self._split_by_revision(revision, loop.time())
             if not behind or loop.time() >= deadline:
-                return Applied(revision, changed, sorted(current), sorted(behind))
+                return ApplyResult(revision, changed, sorted(current), sorted(behind))
             await asyncio.sleep(POLL_INTERVAL)
 
     def _split_by_revision(
         self, revision: int, now: float
     ) -> tuple[list[str], list[str]]:
-        seen_revisions = {m.name: m.revision for m in self.members.alive(now)}
+        seen_revisions = {m.name: m.revision for m in self.members.alive_members(now)}
         seen_revisions[self.name] = self.configuration.revision
         seen_revisions.update(self.loads.revisions)
         current = [name for name, known in seen_revisions.items() if known >= revision]
--- a/siskinroad/stand_ins.py
+++ b/siskinroad/stand_in_servers.py
@@ -12,21 +12,21 @@
     StaleEpochError,
 )
 from siskinroad.httpd import HttpRequest, HttpResponse, HttpServer
-from siskinroad.platform_memory import MemoryLog, MemoryPlatform
+from siskinroad.platform_memory import MemoryPlatform, MemoryPlatformState
 from siskinroad.upstreams import Control, TaskStart
 from siskinroad.upstreams_http import ATTEMPT_HEADER, EPOCH_HEADER, InventoryQuery
-from siskinroad.upstreams_memory import MemoryUpstreams, MemoryWorker
+from siskinroad.upstreams_memory import MemoryHost, MemoryUpstreamClient
 
-__all__ = ["PlatformServer", "WorkerServer"]
+__all__ = ["HostServer", "PlatformServer"]
 
 # Seconds; long enough that the caller's own time limit ends a request first.
 REQUEST_TIMEOUT = 3600.0
 
 
 class PlatformServer:
-    """HTTP server for the platform of a ``MemoryLog``."""
+    """HTTP server for the platform of a ``MemoryPlatformState``."""
 
-    def __init__(self, log: MemoryLog) -> None:
+    def __init__(self, log: MemoryPlatformState) -> None:
         self.log = log
         self.platform = MemoryPlatform(log)
         self.http = HttpServer(self.handle)
@@ -36,7 +36,7 @@
         try:
             return await self._route(req)
         except LogTrimmedError as exc:
-            return HttpResponse(410, msgspec.json.encode({"first": exc.first}))
+            return HttpResponse(410, msgspec.json.encode({"first": exc.first_offset}))
         except PlatformError as exc:
             return HttpResponse(503, str(exc).encode(), "text/plain")
 
@@ -57,13 +57,13 @@
         return HttpResponse(404)
 
 
-class WorkerServer:
-    """HTTP server for one ``MemoryWorker``."""
+class HostServer:
+    """HTTP server for one ``MemoryHost``."""
 
-    def __init__(self, memory_host: MemoryWorker, host: Host) -> None:
+    def __init__(self, memory_host: MemoryHost, host: Host) -> None:
         self.memory_host = memory_host
         self.host = host
-        self.memory = MemoryUpstreams({host.name: memory_host}, delay=0.0)
+        self.memory = MemoryUpstreamClient({host.name: memory_host}, delay=0.0)
         self.http = HttpServer(self.handle)
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
@@ -90,8 +90,8 @@
                 await self.memory.start(self.host, epoch, start)
                 return HttpResponse(200)
             case ("POST", path) if path.startswith("/control/"):
-                do = Control(path.rpartition("/")[2])
-                await self.memory.control(self.host, epoch, req.body.decode(), do)
+                action = Control(path.rpartition("/")[2])
+                await self.memory.control(self.host, epoch, req.body.decode(), action)
                 return HttpResponse(200)
         return await self._forward_request(req, epoch)
 
--- a/siskinroad/status.py
+++ b/siskinroad/status.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from siskinroad.accounts import Accounts, OwnerSpan
-from siskinroad.daemonview import DaemonView
+from siskinroad.daemon_context import DaemonContext
 from siskinroad.dispatch import blocked_reason
 from siskinroad.owner import ShardOwner
 from siskinroad.queues import Item
@@ -18,10 +18,10 @@
     "QueueLine",
     "Report",
     "ReportLine",
+    "build_report",
+    "build_status",
     "explain",
-    "queue_of",
-    "report_of",
-    "status_of",
+    "list_queue",
 ]
 
 
@@ -97,13 +97,13 @@
     return asyncio.get_running_loop().time()
 
 
-def status_of(daemon: DaemonView) -> DaemonStatus:
+def build_status(daemon: DaemonContext) -> DaemonStatus:
     """Return the status of a daemon."""
     now = _loop_time()
     stop_reasons = [
-        s.stop_reason for s in daemon.feed.streams.values() if s.stop_reason
+        s.stop_reason for s in daemon.log_reader.streams.values() if s.stop_reason
     ]
-    log = "up" if daemon.feed.is_reachable(now) else "unreachable"
+    log = "up" if daemon.log_reader.is_reachable(now) else "unreachable"
     shards = [_shard_status(daemon, shard) for shard in sorted(daemon.ownership.shards)]
     return DaemonStatus(
         daemon.cfg.name,
@@ -111,21 +111,23 @@
         daemon.state,
         daemon.configuration.revision,
         "; ".join(stop_reasons) or log,
-        daemon.members.reader(now),
-        sorted(m.name for m in daemon.members.alive(now)),
-        daemon.ownership.admits(),
+        daemon.members.log_reader_name(now),
+        sorted(m.name for m in daemon.members.alive_members(now)),
+        daemon.ownership.required_peers(),
         sorted(
-            m.name for m in daemon.members.alive(now) if daemon.cfg.name in m.admits
+            m.name
+            for m in daemon.members.alive_members(now)
+            if daemon.cfg.name in m.admits
         ),
         sorted(daemon.load_table.revisions),
         shards,
     )
 
 
-def _shard_status(daemon: DaemonView, shard: str) -> ShardStatus:
+def _shard_status(daemon: DaemonContext, shard: str) -> ShardStatus:
     owner = daemon.shards.owners.get(shard)
     claim = daemon.ledger.claims.get(shard)
-    holding = daemon.ownership.holdings.get(shard)
+    shard_claim = daemon.ownership.shard_claims.get(shard)
     held = claim is not None and not claim.released
     name = claim.daemon if claim is not None and held else ""
     hosts: dict[str, int] = {}
@@ -136,7 +138,7 @@
     return ShardStatus(
         shard,
         name,
-        holding.state if holding else "idle",
+        shard_claim.state if shard_claim else "idle",
         owner.epoch,
         len(owner.scheduler.shard.waiting),
         len(owner.scheduler.shard.running),
@@ -144,7 +146,7 @@
     )
 
 
-def queue_of(daemon: DaemonView) -> list[QueueLine]:
+def list_queue(daemon: DaemonContext) -> list[QueueLine]:
     """Return the workloads that have waiting work at this daemon's shards."""
     lines = []
     for shard, owner in sorted(daemon.shards.owners.items()):
@@ -167,11 +169,11 @@
         lane.live,
         round(now - head.enqueued, 3),
         round(lane.expected_wait(now), 3),
-        blocked_reason(state, head) if lane.blocked else "",
+        blocked_reason(state, head) if lane.is_blocked else "",
     )
 
 
-def explain(daemon: DaemonView, key: str) -> str:
+def explain(daemon: DaemonContext, key: str) -> str:
     """Explain in one sentence why a task waits, where it runs or how it ended.
 
     Parameters
@@ -208,22 +210,25 @@
     if item is None:
         return ""
     waited = _loop_time() - item.enqueued
-    if owner.scheduler.paused:
+    if owner.scheduler.is_paused:
         why = "it is uncertain whether this daemon still owns the hosts"
-    elif item.hold_until > 0:
-        why = f"it failed and will be retried in {item.hold_until - _loop_time():.1f} s"
+    elif item.backoff_until > 0:
+        why = (
+            "it failed and will be retried in "
+            f"{item.backoff_until - _loop_time():.1f} s"
+        )
     else:
         why = blocked_reason(state, item)
     return f"{key} has waited {waited:.1f} s: {why}."
 
 
-def report_of(daemon: DaemonView) -> Report:
+def build_report(daemon: DaemonContext) -> Report:
     """Return used and idle capacity of the shards that this daemon owns."""
     totals: dict[str, OwnerSpan] = {}
     capacity = [0, 0, 0]
     for owner in daemon.shards.owners.values():
         accounts = owner.scheduler.shard.accounts
-        accounts.settle(milliseconds(_loop_time()))
+        accounts.apportion_span(milliseconds(_loop_time()))
         _add_accounts(accounts, totals, capacity)
     sums = [
         sum(x.used.values[d] + x.idle.values[d] for x in totals.values())
--- a/siskinroad/upstreams.py
+++ b/siskinroad/upstreams.py
@@ -10,13 +10,13 @@
 from siskinroad.cell import Host
 
 __all__ = [
-    "Answer",
     "Control",
     "Inventory",
     "TaskReport",
     "TaskStart",
     "TaskState",
-    "Upstreams",
+    "UpstreamClient",
+    "UpstreamResponse",
     "Usage",
 ]
 
@@ -83,7 +83,7 @@
     leaving: bool = False
 
 
-class Answer(msgspec.Struct, frozen=True):
+class UpstreamResponse(msgspec.Struct, frozen=True):
     """Complete response of an upstream to one request."""
 
     status: int
@@ -91,7 +91,7 @@
     content_type: str = "application/octet-stream"
 
 
-class Upstreams(ABC):
+class UpstreamClient(ABC):
     """Base class of an owner's clients of upstream hosts.
 
     Every method may raise ``NotSentError`` (nothing reached the host),
@@ -101,16 +101,24 @@
 
     @abstractmethod
     async def request(
-        self, host: Host, attempt: str, epoch: int, path: str, body: bytes, limit: float
-    ) -> Answer:
-        """Send one request and return its response within ``limit`` seconds."""
+        self,
+        host: Host,
+        attempt: str,
+        epoch: int,
+        path: str,
+        body: bytes,
+        timeout: float,
+    ) -> UpstreamResponse:
+        """Send one request and return its response within ``timeout`` seconds."""
 
     @abstractmethod
     async def start(self, host: Host, epoch: int, start: TaskStart) -> None:
         """Start a task; starting the same attempt again has no effect."""
 
     @abstractmethod
-    async def control(self, host: Host, epoch: int, attempt: str, do: Control) -> None:
+    async def control(
+        self, host: Host, epoch: int, attempt: str, action: Control
+    ) -> None:
         """Stop, checkpoint, throttle or resume a task."""
 
     @abstractmethod
--- a/siskinroad/upstreams_memory.py
+++ b/siskinroad/upstreams_memory.py
@@ -12,17 +12,17 @@
 from siskinroad.errors import NotSentError, OutcomeUnknownError, StaleEpochError
 from siskinroad.resources import Resources
 from siskinroad.upstreams import (
-    Answer,
     Control,
     Inventory,
     TaskReport,
     TaskStart,
     TaskState,
-    Upstreams,
+    UpstreamClient,
+    UpstreamResponse,
     Usage,
 )
 
-__all__ = ["Event", "HostFaults", "MemoryUpstreams", "MemoryWorker"]
+__all__ = ["HostEvent", "HostFaults", "MemoryHost", "MemoryUpstreamClient"]
 
 # Longest interval, in seconds, between two checks for due tasks and expired leases
 # while an inventory call waits.
@@ -39,7 +39,7 @@
         Connections are refused.
     silent : bool
         Calls neither arrive nor get a reply.
-    mute : bool
+    loses_replies : bool
         Calls take effect but get no reply.
     failing : bool
         Every task and request fails immediately.
@@ -47,12 +47,12 @@
 
     down: bool = False
     silent: bool = False
-    mute: bool = False
+    loses_replies: bool = False
     failing: bool = False
 
 
 @dataclass(slots=True, frozen=True)
-class Event:
+class HostEvent:
     """Start or end of a task or request on a host.
 
     ``kind`` is ``start`` or ``end:STATE``. ``body`` is the body of a request, and empty
@@ -85,7 +85,7 @@
 
 
 @dataclass(slots=True)
-class MemoryWorker:
+class MemoryHost:
     """One in-memory host.
 
     Attributes
@@ -96,7 +96,7 @@
         Returns the seconds that a task or request of a workload takes.
     demand : callable
         Returns the resources that a request of a workload uses.
-    events : list of Event
+    events : list of HostEvent
         Starts and ends of all tasks and requests, for checks of the invariants.
     sequence : iterator of int
         Source of event numbers; hosts may share one.
@@ -109,7 +109,7 @@
     duration: DurationSampler = lambda workload, rng: 1.0
     demand: DemandFunction = lambda workload: Resources(0, 0, 0, 1)
     faults: HostFaults = field(default_factory=HostFaults)
-    events: list[Event] = field(default_factory=list)
+    events: list[HostEvent] = field(default_factory=list)
     sequence: Iterator[int] = field(default_factory=itertools.count)
     epoch: int = 0
     requests: int = 0
@@ -137,7 +137,7 @@
         """Append one event to the record."""
         number = next(self.sequence)
         self.events.append(
-            Event(now, self.name, kind, task, attempt, used, body, number)
+            HostEvent(now, self.name, kind, task, attempt, used, body, number)
         )
 
     def start_task(self, start: TaskStart, now: float) -> None:
@@ -197,7 +197,7 @@
         self.tasks.clear()
 
 
-class MemoryUpstreams(Upstreams):
+class MemoryUpstreamClient(UpstreamClient):
     """Client of in-memory hosts in the same process.
 
     Parameters
@@ -213,28 +213,34 @@
 
     Attributes
     ----------
-    held : asyncio.Event or None
+    delivery_gate : asyncio.Event or None
         If not None, calls are delivered only once this event is set.
     """
 
     def __init__(
         self,
-        memory_hosts: dict[str, MemoryWorker],
+        memory_hosts: dict[str, MemoryHost],
         client: str = "",
         cut: set[tuple[str, str]] | None = None,
         delay: float = 0.0005,
     ) -> None:
-        self.held: asyncio.Event | None = None
+        self.delivery_gate: asyncio.Event | None = None
         self.memory_hosts = memory_hosts
         self.client = client
         self.cut = cut if cut is not None else set()
         self.delay = delay
 
     async def request(
-        self, host: Host, attempt: str, epoch: int, path: str, body: bytes, limit: float
-    ) -> Answer:
+        self,
+        host: Host,
+        attempt: str,
+        epoch: int,
+        path: str,
+        body: bytes,
+        timeout: float,
+    ) -> UpstreamResponse:
         """Run a request; see the base class."""
-        async with _OutcomeUnknownAfter(limit, host):
+        async with _OutcomeUnknownAfter(timeout, host):
             memory_host = await self._deliver_call(host)
             memory_host.check_epoch(epoch)
             workload = path.split("/")[1]
@@ -253,7 +259,11 @@
                     "end:done", task, attempt, used, loop.time(), body
                 )
             await self._deliver_reply(memory_host, host)
-            return Answer(500, b"failed") if failing else Answer(200, body)
+            return (
+                UpstreamResponse(500, b"failed")
+                if failing
+                else UpstreamResponse(200, body)
+            )
 
     async def start(self, host: Host, epoch: int, start: TaskStart) -> None:
         """Start a task; see the base class."""
@@ -263,7 +273,9 @@
             memory_host.start_task(start, asyncio.get_running_loop().time())
             await self._deliver_reply(memory_host, host)
 
-    async def control(self, host: Host, epoch: int, attempt: str, do: Control) -> None:
+    async def control(
+        self, host: Host, epoch: int, attempt: str, action: Control
+    ) -> None:
         """Control a task; see the base class."""
         async with _OutcomeUnknownAfter(2.0, host):
             memory_host = await self._deliver_call(host)
@@ -272,7 +284,7 @@
             memory_host.end_due_tasks(now)
             task = memory_host.tasks.get(attempt)
             if task is not None and task.state is TaskState.RUNNING:
-                _apply_control(memory_host, task, do, now)
+                _apply_control(memory_host, task, action, now)
             await self._deliver_reply(memory_host, host)
 
     async def inventory(
@@ -293,12 +305,12 @@
             tasks = memory_host.report_tasks(loop.time())
             return Inventory(tasks, memory_host.requests, memory_host.leaving)
 
-    def _renew_leases(self, memory_host: MemoryWorker, now: float) -> None:
+    def _renew_leases(self, memory_host: MemoryHost, now: float) -> None:
         for task in memory_host.tasks.values():
             task.lease_expires_at = now + task.start.lease
 
     async def _wait_for_task_end(
-        self, memory_host: MemoryWorker, deadline: float
+        self, memory_host: MemoryHost, deadline: float
     ) -> None:
         loop = asyncio.get_running_loop()
         while loop.time() < deadline and not memory_host.faults.down:
@@ -316,31 +328,31 @@
                 pass
             memory_host.end_due_tasks(loop.time())
 
-    async def _deliver_call(self, host: Host) -> MemoryWorker:
+    async def _deliver_call(self, host: Host) -> MemoryHost:
         memory_host = self.memory_hosts.get(host.name)
         await asyncio.sleep(self.delay)
-        if self.held is not None:
-            await asyncio.shield(self.held.wait())
+        if self.delivery_gate is not None:
+            await asyncio.shield(self.delivery_gate.wait())
         if memory_host is None or memory_host.faults.down:
             raise NotSentError("connection refused", step="worker", peer=host.name)
         if memory_host.faults.silent or (self.client, host.name) in self.cut:
             await asyncio.Event().wait()
         return memory_host
 
-    async def _deliver_reply(self, memory_host: MemoryWorker, host: Host) -> None:
+    async def _deliver_reply(self, memory_host: MemoryHost, host: Host) -> None:
         await asyncio.sleep(self.delay)
         if memory_host.faults.down:
             raise OutcomeUnknownError("reset", step="worker", peer=host.name)
         cut = (self.client, host.name) in self.cut
-        if memory_host.faults.silent or memory_host.faults.mute or cut:
+        if memory_host.faults.silent or memory_host.faults.loses_replies or cut:
             await asyncio.Event().wait()
 
 
 class _OutcomeUnknownAfter:
-    """Context manager that raises ``OutcomeUnknownError`` after ``limit`` seconds."""
+    """Context manager that raises ``OutcomeUnknownError`` after ``timeout`` seconds."""
 
-    def __init__(self, limit: float, host: Host) -> None:
-        self._timeout = asyncio.timeout(limit)
+    def __init__(self, timeout: float, host: Host) -> None:
+        self._timeout = asyncio.timeout(timeout)
         self._host = host
 
     async def __aenter__(self) -> None:
@@ -356,9 +368,9 @@
 
 
 def _apply_control(
-    memory_host: MemoryWorker, task: _Task, do: Control, now: float
+    memory_host: MemoryHost, task: _Task, action: Control, now: float
 ) -> None:
-    match do:
+    match action:
         case Control.STOP:
             memory_host.end_task(task, TaskState.STOPPED, now)
         case Control.CHECKPOINT:
--- a/siskinroad/work/run_monitor.py
+++ b/siskinroad/work/run_monitor.py
@@ -236,7 +236,7 @@
         if now >= until:
             host.is_quarantined = False
             del self._quarantined_until[host.name]
-            self.pool_state.health.forget(host.name)
+            self.pool_state.health.remove_host(host.name)
             log.info(
                 "run_monitor: host leaves quarantine and may get new work",
                 extra={"host": host.name},
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -11,18 +11,18 @@
 import pytest
 
 from bench.faults import FAULTS, run_session
-from siskinroad import hostwatch
+from siskinroad import host_monitor
 from siskinroad.configuration import Configuration
 from siskinroad.entry import Daemon
 from siskinroad.errors import Outcome, Refusal
 from siskinroad.forwarding import Forwarder
-from siskinroad.keys import KeyGuard
+from siskinroad.idempotency import IdempotencyGuard
 from siskinroad.placement import HostIndex
-from siskinroad.shards import ShardSet
+from siskinroad.shards import OwnedShards
 
 # Faults that do nothing beside another fault.
-ALONE = {"host_leaves", "rolling_replacement"}
-COMBINABLE = sorted(set(FAULTS) - ALONE)
+SOLO_FAULTS = {"host_leaves", "rolling_replacement"}
+COMBINABLE = sorted(set(FAULTS) - SOLO_FAULTS)
 TRIPLE_COUNT = 200
 
 
@@ -69,27 +69,27 @@
 
 def test_checks_detect_a_host_over_capacity(monkeypatch):
     """Placement does not account for the tasks already on a host."""
-    monkeypatch.setattr(HostIndex, "_change", lambda self, host, need, sign: None)
+    monkeypatch.setattr(HostIndex, "_adjust", lambda self, host, need, sign: None)
     assert "overfilled" in _find_violations(["cancel_wave"])
 
 
 def test_checks_detect_a_task_on_two_hosts(monkeypatch):
     """The leases of a host count as expired at once, so that its tasks start again."""
-    monkeypatch.setattr(hostwatch, "TASK_LEASE", -1.0)
+    monkeypatch.setattr(host_monitor, "TASK_LEASE_S", -1.0)
     assert " ran on " in _find_violations(["host_mute"], range(12))
 
 
 def test_checks_detect_swapped_answers(monkeypatch):
     """A daemon pairs forwarded requests with the replies to earlier ones."""
-    original_hear = Forwarder.hear_reply
+    original_receive = Forwarder.receive_reply
     last = {}
 
     def swap_replies(self, msg):
         swapped = last.get("msg", msg)
         last["msg"] = msg
-        return original_hear(self, type(msg)(msg.id, swapped.status, swapped.body))
+        return original_receive(self, type(msg)(msg.id, swapped.status, swapped.body))
 
-    monkeypatch.setattr(Forwarder, "hear_reply", swap_replies)
+    monkeypatch.setattr(Forwarder, "receive_reply", swap_replies)
     assert "got the answer" in _find_violations(["log_slow"])
 
 
@@ -106,13 +106,13 @@
     async def run_without_key(self, key, service, body, send):
         return await send()
 
-    monkeypatch.setattr(KeyGuard, "run", run_without_key)
+    monkeypatch.setattr(IdempotencyGuard, "run", run_without_key)
     assert "times" in _find_violations(["host_mute"], range(12))
 
 
 def test_checks_detect_work_on_a_leaving_host(monkeypatch):
     """Owners ignore changes of the host list."""
-    monkeypatch.setattr(ShardSet, "_apply_list", lambda self, owner: None)
+    monkeypatch.setattr(OwnedShards, "_apply_host_list", lambda self, owner: None)
     assert "after it was listed as leaving" in _find_violations(["host_leaves"])
 
 
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from bench.clock import run
+from bench.clock import run_on_paused_clock
 from siskinroad.errors import Outcome, Reason, Refusal
 from siskinroad.forwarding import MAX_KEPT_BYTES, Forwarder, Receiver
-from siskinroad.messages import Forward, ForwardAsk, Reply
-from siskinroad.upstreams import Answer
+from siskinroad.messages import Forward, ForwardQuery, Reply
+from siskinroad.upstreams import UpstreamResponse
 
 
 class ForwardPair:
@@ -24,23 +24,23 @@
     async def run_request(self, msg):
         self.runs += 1
         await asyncio.sleep(self.run_seconds)
-        return Answer(200, msg.body)
+        return UpstreamResponse(200, msg.body)
 
     def to_receiver(self, name, msg):
         if self.is_lost(msg):
             return
-        if isinstance(msg, ForwardAsk):
-            self.receiver.hear_ask(msg)
+        if isinstance(msg, ForwardQuery):
+            self.receiver.receive_query(msg)
         else:
-            self.receiver.hear(msg)
+            self.receiver.receive(msg)
 
     def to_sender(self, name, msg):
         if self.is_lost(msg):
             return
         if isinstance(msg, Reply):
-            self.forwarder.hear_reply(msg)
+            self.forwarder.receive_reply(msg)
         else:
-            self.forwarder.hear_ack(msg)
+            self.forwarder.receive_ack(msg)
 
     def forward_request(self, incarnation=7, body=b"x", left=10.0):
         key = self.forwarder.new_id()
@@ -60,7 +60,7 @@
     return is_lost
 
 
-@pytest.mark.parametrize("kind", ["Forward", "ForwardAck", "Reply", "ForwardAsk"])
+@pytest.mark.parametrize("kind", ["Forward", "ForwardAck", "Reply", "ForwardQuery"])
 def test_request_runs_once_when_messages_are_lost(kind):
     # Guards against a lost answer or a second run after resends.
     async def main():
@@ -68,7 +68,7 @@
         answer = await pair.forward_request(body=b"whole")
         return answer.body, pair.runs
 
-    assert run(main()) == (b"whole", 1)
+    assert run_on_paused_clock(main()) == (b"whole", 1)
 
 
 def test_silent_peer_leaves_the_outcome_unknown():
@@ -80,7 +80,7 @@
         assert info.value.reason == Reason.PEER_LOST
         assert info.value.outcome == Outcome.UNKNOWN
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_restarted_peer_does_not_run_a_request_for_its_earlier_incarnation():
@@ -91,7 +91,7 @@
             await pair.forward_request(incarnation=6)
         assert (info.value.outcome, pair.runs) == (Outcome.UNKNOWN, 0)
 
-    run(main())
+    run_on_paused_clock(main())
 
 
 def test_kept_replies_stay_within_max_kept_bytes():
@@ -104,4 +104,4 @@
         assert sum(len(reply.body) for reply in kept) <= MAX_KEPT_BYTES
         assert pair.runs == 40
 
-    run(main())
+    run_on_paused_clock(main())
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -15,9 +15,9 @@
 from siskinroad.cluster import free_addresses
 from siskinroad.errors import SiskinroadError
 from siskinroad.http_client import HttpPool
-from siskinroad.platform_memory import MemoryLog
-from siskinroad.stand_ins import PlatformServer, WorkerServer
-from siskinroad.upstreams_memory import MemoryWorker
+from siskinroad.platform_memory import MemoryPlatformState
+from siskinroad.stand_in_servers import HostServer, PlatformServer
+from siskinroad.upstreams_memory import MemoryHost
 
 pytestmark = pytest.mark.processes
 NAMES = ("a", "b")
@@ -29,22 +29,22 @@
     def __init__(self, folder):
         self.folder = folder
         self.text = small_cell(3, 0).replace("timeout_s = 5", "timeout_s = 2")
-        self.workers = {}
+        self.memory_hosts = {}
         self.procs = {}
         self.pool = HttpPool()
 
     async def start_all(self):
-        self.platform = PlatformServer(MemoryLog())
+        self.platform = PlatformServer(MemoryPlatformState())
         platform_address = await self.platform.http.listen("127.0.0.1:0")
         for host in parse_cell(self.text).hosts():
             capacity = parse_cell(self.text).pools["booking"].capacity
-            worker = MemoryWorker(
+            memory_host = MemoryHost(
                 host.name, capacity, random.Random(1), duration=lambda w, r: 0.05
             )
-            server = WorkerServer(worker, host)
+            server = HostServer(memory_host, host)
             address = await server.http.listen("127.0.0.1:0")
             self.text = self.text.replace(host.address, address)
-            self.workers[host.name] = worker
+            self.memory_hosts[host.name] = memory_host
         ports = free_addresses(6)
         self.addresses = {
             name: ports[3 * i : 3 * i + 3] for i, name in enumerate(NAMES)
@@ -81,7 +81,7 @@
             target,
             body=body,
             headers=fields,
-            limit=8.0,
+            timeout=8.0,
         )
 
     async def wait_until(self, condition, tries=100):
@@ -152,8 +152,8 @@
 def count_starts(pair, body):
     return sum(
         event.body == body and event.kind == "start"
-        for worker in pair.workers.values()
-        for event in worker.events
+        for memory_host in pair.memory_hosts.values()
+        for event in memory_host.events
     )
 
 
--- a/tests/work/test_daemon.py
+++ b/tests/work/test_daemon.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from bench.clock import run
-from siskinroad.peers import Reach
+from bench.clock import run_on_paused_clock
+from siskinroad.peers import Reachability
 from siskinroad.work.hosts import EndKind
 from siskinroad.work.model import TaskId
 from tests.work.cell import ADVISED, POOL, Cell, job, step
@@ -22,7 +22,7 @@
             await cell.close()
         cell.check_run_numbers()
 
-    run(run_and_close())
+    run_on_paused_clock(run_and_close())
 
 
 def test_two_step_job_runs_in_order_and_completes():
@@ -86,7 +86,7 @@
 def test_takeover_after_power_loss_starts_new_work_within_two_and_a_half_seconds():
     async def scenario(cell):
         await cell.start_daemons("a", "b", "c")
-        await cell.kill(cell.owner(), power_loss=True)
+        await cell.kill(cell.owner(), loses_power=True)
         began = asyncio.get_running_loop().time()
         await cell.submit(next(iter(cell.daemons)), JOB_ID, job())
         starts = await cell.wait_for_starts(1)
@@ -103,7 +103,7 @@
         reply = await cell.submit("a", JOB_ID, job(step(20, cpu_milli=32000)))
         assert reply.kind == "ok"
         await asyncio.sleep(0.2)
-        before = len(cell.hosts.starts())
+        starts_before = len(cell.hosts.starts())
         for name in "abc":
             await cell.kill(name)
         for host in cell.hosts.hosts.values():
@@ -112,7 +112,7 @@
         began = asyncio.get_running_loop().time()
         for name in "abc":
             cell.start(name)
-        starts = await cell.wait_for_starts(before + 1)
+        starts = await cell.wait_for_starts(starts_before + 1)
         assert starts[-1].at - began < 1.0
 
     run_scenario(scenario)
@@ -135,7 +135,7 @@
         assert cell.owner() == owner
 
     async def answer_listening(name):
-        return Reach.LISTENS
+        return Reachability.LISTENS
 
     run_scenario(scenario)
 
@@ -165,12 +165,12 @@
         await cell.start_daemons("a", "b", "c")
         await cell.submit("a", JOB_ID, job(step(6, estimate=9.0)))
         await asyncio.sleep(0.5)
-        cell.logs.faults.no_replies = True
+        cell.logs.faults.is_silent = True
         leaving = cell.daemons.pop(cell.owner())
         drain = asyncio.create_task(leaving.drain(3.5))
         await asyncio.sleep(3.0)
         assert leaving.owners
-        cell.logs.faults.no_replies = False
+        cell.logs.faults.is_silent = False
         await asyncio.sleep(2.0)
         assert cell.owner() is not None
         await drain
@@ -184,7 +184,7 @@
 def test_drain_releases_pools_in_time_during_endless_outage():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
-        cell.logs.faults.no_replies = True
+        cell.logs.faults.is_silent = True
         leaving = cell.daemons.pop(cell.owner())
         began = asyncio.get_running_loop().time()
         await leaving.drain(3.5)
@@ -277,13 +277,13 @@
         await cell.submit("a", JOB_ID, job(step(1)))
         await asyncio.sleep(0.5)
         first = cell.hosts.starts()[0]
-        cut = cell.hosts.hosts[first.host]
-        cut.silent = True
+        silent_host = cell.hosts.hosts[first.host]
+        silent_host.is_silent = True
         cell.unlist(first.host)
         second = (await cell.wait_for_starts(2))[1]
         assert second.host != first.host
-        cut.advance()
-        assert not cut.runs
+        silent_host.advance()
+        assert not silent_host.runs
 
     run_scenario(scenario)
 
@@ -310,19 +310,19 @@
 
 def test_superseded_owner_starts_no_job_stored_after_the_claim():
     # A slow owner stores a job for a caller after another daemon's claim, which it has
-    # not read yet; only the new owner may start that job.
+    # not read yet; only the successor may start that job.
     async def scenario(cell):
         await cell.start_daemons("a", "b")
-        old = cell.owner()
-        new = next(name for name in cell.daemons if name != old)
-        cell.network.faults.cut |= {(old, new), (new, old)}
-        cell.logs.faults.no_read_replies.add(old)
+        former = cell.owner()
+        successor = next(name for name in cell.daemons if name != former)
+        cell.network.faults.cut |= {(former, successor), (successor, former)}
+        cell.logs.faults.no_read_replies.add(former)
         for _ in range(60):
-            if POOL in cell.daemons[new].owners:
+            if POOL in cell.daemons[successor].owners:
                 break
             await asyncio.sleep(0.05)
-        owner = cell.daemons[old].owners[POOL]
-        await cell.submit(old, JOB_ID, job())
+        owner = cell.daemons[former].owners[POOL]
+        await cell.submit(former, JOB_ID, job())
         assert JOB_ID not in owner.pool_state.jobs
         await cell.wait_for_starts(1)
         assert len(cell.hosts.starts()) == 1
@@ -381,7 +381,7 @@
     async def scenario(cell):
         loop = asyncio.get_running_loop()
         await cell.start_daemons("a", "b")
-        cell.logs.faults.no_replies = True
+        cell.logs.faults.is_silent = True
         first = asyncio.create_task(cell.submit("b", JOB_ID, job()))
         await asyncio.sleep(0.5)
         began = loop.time()
@@ -390,12 +390,12 @@
         assert loop.time() - began < 1.0
         assert (await first).kind == "unknown"
         await asyncio.sleep(2.0)
-        cell.logs.faults.no_replies = False
-        back = loop.time()
+        cell.logs.faults.is_silent = False
+        recovered_at = loop.time()
         while (await cell.submit("b", "00000000000000bb", job())).kind != "ok":
             await asyncio.sleep(0.25)
         starts = await cell.wait_for_starts(1)
-        assert starts[0].at - back < 1.5
+        assert starts[0].at - recovered_at < 1.5
 
     run_scenario(scenario)
 
@@ -511,7 +511,7 @@
     run_scenario(scenario)
 
 
-def test_a_draining_host_gets_no_new_work():
+def test_draining_host_gets_no_new_work():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
         for name in ("i-0", "i-1"):
@@ -524,7 +524,7 @@
     run_scenario(scenario)
 
 
-def test_a_gang_starts_together_or_not_at_all():
+def test_gang_starts_together_or_not_at_all():
     async def scenario(cell):
         await cell.start_daemons("a", "b")
         big = step(1, cpu_milli=30000)
