--- a/siskinroad/__main__.py
+++ b/siskinroad/__main__.py
@@ -10,7 +10,8 @@
 def main() -> int:
     """Run the command line and return its exit code.
 
-    A daemon first imports its libraries without unused modules, which saves memory.
+    For a daemon, first import the libraries without the modules that it never uses,
+    which saves memory.
     """
     if sys.argv[1:2] == ["entry"]:
         stub_unused_imports()
--- a/siskinroad/checks.py
+++ b/siskinroad/checks.py
@@ -50,11 +50,11 @@
     doc: str = ""
 
     @property
-    def required(self) -> bool:
+    def is_required(self) -> bool:
         """Whether the key must be present."""
         return self.default is MISSING
 
-    def allowed(self) -> str:
+    def describe_allowed(self) -> str:
         """Describe the values that the key may hold."""
         match self.kind:
             case "choice":
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class Reader:
-    """Validator that collects problems while it reads values."""
+    """Validator of parsed TOML that collects the problems it finds."""
 
     problems: list[Problem] = field(default_factory=list)
 
@@ -131,15 +131,17 @@
                 allowed = "one of " + ", ".join(sorted(table.fields))
                 self.add_problem(_join_path(key_path, key), "unknown key", allowed)
         return {
-            key: self._value(data, key, spec, _join_path(key_path, key))
+            key: self._validate_key(data, key, spec, _join_path(key_path, key))
             for key, spec in table.fields.items()
         }
 
-    def _value(self, data: dict[str, Any], key: str, spec: Field, key_path: str) -> Any:
+    def _validate_key(
+        self, data: dict[str, Any], key: str, spec: Field, key_path: str
+    ) -> Any:
         if key in data:
             return self.validate_value(data[key], spec, key_path)
-        if spec.required:
-            self.add_problem(key_path, "nothing", spec.allowed())
+        if spec.is_required:
+            self.add_problem(key_path, "nothing", spec.describe_allowed())
             return _placeholder_value(spec)
         if spec.kind == "table" and spec.table and spec.default is not None:
             return self.validate_table(spec.default, spec.table, key_path)
@@ -152,20 +154,20 @@
                 assert spec.table is not None
                 return self.validate_table(value, spec.table, key_path)
             case "tables":
-                return self._tables(value, spec, key_path)
+                return self._validate_tables(value, spec, key_path)
             case "names":
-                return self._names(value, spec, key_path)
+                return self._validate_names(value, spec, key_path)
         if not _VALIDATORS[spec.kind](value, spec):
-            self.add_problem(key_path, value, spec.allowed())
+            self.add_problem(key_path, value, spec.describe_allowed())
             return _placeholder_value(spec)
         return value
 
-    def _tables(
+    def _validate_tables(
         self, value: object, spec: Field, key_path: str
     ) -> list[dict[str, Any]]:
         assert spec.table is not None
         if not isinstance(value, list) or not spec.min <= len(value) <= spec.max:
-            self.add_problem(key_path, value, spec.allowed())
+            self.add_problem(key_path, value, spec.describe_allowed())
             return []
         table = spec.table
         return [
@@ -173,10 +175,10 @@
             for i, v in enumerate(value)
         ]
 
-    def _names(self, value: object, spec: Field, key_path: str) -> list[str]:
-        is_name_list = isinstance(value, list) and all(_is_name(v, spec) for v in value)
-        if not is_name_list or not spec.min <= len(value) <= spec.max:  # type: ignore[arg-type]
-            self.add_problem(key_path, value, spec.allowed())
+    def _validate_names(self, value: object, spec: Field, key_path: str) -> list[str]:
+        are_names = isinstance(value, list) and all(_is_name(v, spec) for v in value)
+        if not are_names or not spec.min <= len(value) <= spec.max:  # type: ignore[arg-type]
+            self.add_problem(key_path, value, spec.describe_allowed())
             return []
         return list(value)  # type: ignore[call-overload]
 
--- a/siskinroad/cli.py
+++ b/siskinroad/cli.py
@@ -80,12 +80,12 @@
     print(json.dumps(value, indent=2, sort_keys=True) if as_json else text)
 
 
-def _operator_token(args: Args) -> str:
+def _get_operator_token(args: Args) -> str:
     return args["--token"] or os.environ.get("SISKINROAD_TOKEN", "")
 
 
 class Entry:
-    """Run a daemon."""
+    """Subcommand that runs a daemon."""
 
     def run(self, args: Args) -> int:
         """Run a daemon until it is told to stop."""
@@ -93,7 +93,7 @@
 
 
 class Check:
-    """Validate a cell file."""
+    """Subcommand that validates a cell file."""
 
     def run(self, args: Args) -> int:
         """Print a summary; an invalid file raises an error with every problem."""
@@ -105,12 +105,12 @@
 
 
 class Diff:
-    """Show the changes that a cell file would make."""
+    """Subcommand that shows the changes that a cell file would make."""
 
     def run(self, args: Args) -> int:
         """Print one line per change."""
         comparison = porcelain.compare(
-            args["FILE"], args["--at"], token=_operator_token(args)
+            args["FILE"], args["--at"], token=_get_operator_token(args)
         )
         text = "\n".join(comparison["diff"]) or "no change"
         _print_result(comparison, args["--json"], text)
@@ -118,13 +118,13 @@
 
 
 class Apply:
-    """Apply a cell file."""
+    """Subcommand that applies a cell file."""
 
     def run(self, args: Args) -> int:
         """Print the daemons where the revision is in force and where it is not yet."""
         expect = int(args["--expect"]) if args["--expect"] else None
         result = porcelain.apply(
-            args["FILE"], args["--at"], expect=expect, token=_operator_token(args)
+            args["FILE"], args["--at"], expect=expect, token=_get_operator_token(args)
         )
         text = f"revision {result['revision']} is in force at " + (
             ", ".join(result["in_force"])
@@ -136,11 +136,11 @@
 
 
 class Status:
-    """Show a daemon and its data centre."""
+    """Subcommand that shows a daemon and its data centre."""
 
     def run(self, args: Args) -> int:
         """Print the daemon's state and a table of its data centre's shards."""
-        daemon_info = porcelain.status(args["--at"], token=_operator_token(args))
+        daemon_info = porcelain.status(args["--at"], token=_get_operator_token(args))
         heading = (
             f"{daemon_info['daemon']} in {daemon_info['data_centre']}: "
             f"{daemon_info['state']}, "
@@ -155,24 +155,24 @@
 
 
 class Queue:
-    """Show waiting work."""
+    """Subcommand that shows waiting work."""
 
     def run(self, args: Args) -> int:
         """Print one line per shard and workload with waiting work."""
-        entries = porcelain.queue(args["--at"], token=_operator_token(args))
+        entries = porcelain.queue(args["--at"], token=_get_operator_token(args))
         columns = ["workload", "owner", "urgency", "waiting", "oldest", "blocked"]
         _print_result(entries, args["--json"], format_table(columns, entries))
         return EXIT_OK
 
 
 class Report:
-    """Show used, borrowed, lent and idle capacity by owner."""
+    """Subcommand that shows used, borrowed, lent and idle capacity by owner."""
 
     def run(self, args: Args) -> int:
         """Print the report; with --picture, also write it as SVG."""
         from siskinroad.pictures import render_report_svg
 
-        usage_report = porcelain.report(args["--at"], token=_operator_token(args))
+        usage_report = porcelain.report(args["--at"], token=_get_operator_token(args))
         columns = ["owner", "used", "borrowed", "lent", "idle"]
         text = format_table(columns, usage_report["lines"])
         text += (
@@ -186,18 +186,20 @@
 
 
 class Explain:
-    """Say why a task waits, or where it runs."""
+    """Subcommand that says why a task waits, or where it runs or ran."""
 
     def run(self, args: Args) -> int:
-        """Print one sentence."""
+        """Print why the task waits, or where it runs or ran, in one sentence."""
         print(
-            porcelain.explain(args["TASK"], args["--at"], token=_operator_token(args))
+            porcelain.explain(
+                args["TASK"], args["--at"], token=_get_operator_token(args)
+            )
         )
         return EXIT_OK
 
 
 class Submit:
-    """Submit a job."""
+    """Subcommand that submits a job."""
 
     def run(self, args: Args) -> int:
         """Print the accepted job as JSON."""
@@ -217,7 +219,7 @@
 
 
 class Watch:
-    """Show a job."""
+    """Subcommand that shows a job."""
 
     def run(self, args: Args) -> int:
         """Print the job's state as JSON."""
@@ -227,7 +229,7 @@
 
 
 class Cancel:
-    """Cancel a job."""
+    """Subcommand that cancels a job."""
 
     def run(self, args: Args) -> int:
         """Print the job's state as JSON."""
@@ -236,7 +238,7 @@
 
 
 class Load:
-    """Send a load to a service and measure latencies."""
+    """Subcommand that sends a load to a service and measures latencies."""
 
     def run(self, args: Args) -> int:
         """Print request counts and latencies."""
@@ -255,7 +257,7 @@
 
 
 class Demo:
-    """Run daemons and simulated hosts for both example cells under a limited load."""
+    """Subcommand that runs both example cells on loopback under a limited load."""
 
     def run(self, args: Args) -> int:
         """Print a table of latency, packing and control traffic."""
@@ -266,7 +268,7 @@
 
 
 class Keys:
-    """Generate a key pair for the peer listener."""
+    """Subcommand that generates a key pair for the peer listener."""
 
     def run(self, args: Args) -> int:
         """Print the keys as lines for a settings file."""
@@ -278,7 +280,7 @@
 
 
 class Token:
-    """Hash an operator token."""
+    """Subcommand that hashes an operator token."""
 
     def run(self, args: Args) -> int:
         """Print the hash as a line for a settings file."""
@@ -289,7 +291,7 @@
 
 
 class Reference:
-    """Print the reference page of the cell and settings files."""
+    """Subcommand that prints the reference page of the cell and settings files."""
 
     def run(self, args: Args) -> int:
         """Print the page as Markdown."""
--- a/siskinroad/cluster.py
+++ b/siskinroad/cluster.py
@@ -60,7 +60,7 @@
         self.log = MemoryPlatformState()
         self.platform = PlatformServer(self.log)
         self.memory_hosts: dict[str, MemoryHost] = {}
-        self.servers: list[HostServer] = []
+        self.host_servers: list[HostServer] = []
         self.nodes: list[Node] = []
         self._duration = duration
         self._daemons_per_data_centre = daemons_per_data_centre
@@ -70,16 +70,16 @@
         platform = await self.platform.http.listen("127.0.0.1:0")
         for host in self.cell.hosts():
             await self._start_host(host)
-        peers = self._assign_peers()
-        addresses = iter(free_addresses(2 * len(peers)))
+        peers = self._make_peers()
+        listener_addresses = iter(free_addresses(2 * len(peers)))
         for index, peer in enumerate(peers):
             others = tuple(other for other in peers if other is not peer)
             cfg = Settings(
                 peer.name,
                 peer.data_centre,
                 peer.region,
-                next(addresses),
-                next(addresses),
+                next(listener_addresses),
+                next(listener_addresses),
                 peer.address,
                 platform,
                 others,
@@ -88,7 +88,7 @@
             node = Node(cfg, 1, rng)
             await node.open()
             self.nodes.append(node)
-        await self._publish()
+        await self._apply_cell_file()
 
     async def _start_host(self, host: Host) -> None:
         capacity = self.cell.pools[host.pool].capacity
@@ -98,9 +98,9 @@
         address = await server.http.listen("127.0.0.1:0")
         self.text = self.text.replace(f'"{host.address}"', f'"{address}"')
         self.memory_hosts[host.name] = memory_host
-        self.servers.append(server)
+        self.host_servers.append(server)
 
-    def _assign_peers(self) -> list[Peer]:
+    def _make_peers(self) -> list[Peer]:
         names = [
             (f"{data_centre}{chr(97 + i)}", data_centre, region)
             for data_centre, region in sorted(self.cell.regions.items())
@@ -114,7 +114,7 @@
             )
         ]
 
-    async def _publish(self) -> None:
+    async def _apply_cell_file(self) -> None:
         await asyncio.sleep(1.0)
         await self.nodes[0].daemon.publisher.apply(self.text, None)
 
@@ -124,7 +124,7 @@
         Returns
         -------
         bool
-            Whether every shard has one.
+            Whether every shard has an owner.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + within
@@ -149,6 +149,6 @@
         """Stop the daemons, hosts and platform."""
         for node in self.nodes:
             await node.close()
-        for server in self.servers:
+        for server in self.host_servers:
             await server.http.close()
         await self.platform.http.close()
--- a/siskinroad/demo.py
+++ b/siskinroad/demo.py
@@ -19,9 +19,8 @@
 # Mean request rates to the service without idempotency keys and to the one with them.
 REQUESTS_PER_SECOND = 40.0
 KEYED_REQUESTS_PER_SECOND = 5.0
-# Tasks in each of the jobs that flood the queue.
-FLOOD_TASKS = 400
-# Number of gang jobs.
+# Number of tasks in each large job: enough that tasks wait in the queue.
+BATCH_JOB_TASKS = 400
 GANG_JOBS = 4
 # Mean run time of a task in seconds by workload; 1 s for any other.
 MEAN_RUN_TIMES_S = {
@@ -42,16 +41,17 @@
 class _DemoCell:
     """An example cell and the workloads that the demonstration uses.
 
-    ``requests`` and ``keyed`` are services; the load on ``keyed`` carries idempotency
-    keys. ``flood``, ``single`` and ``gang`` are submitted as jobs.
+    Requests are sent to ``service``, and requests with idempotency keys to
+    ``keyed``. The other workloads are submitted as jobs: large ones of
+    ``batch_workload``, a small one of ``single_workload``, and gangs.
     """
 
     file: str
-    requests: str
+    service: str
     keyed: str
-    flood: str
-    single: str
-    gang: str
+    batch_workload: str
+    single_workload: str
+    gang_workload: str
 
 
 DEMO_CELLS = (
@@ -97,7 +97,10 @@
     await cluster.open()
     try:
         if not await cluster.wait_until_owned():
-            return {"cell": demo_cell.file, "fault": "not every shard has an owner"}
+            return {
+                "cell": demo_cell.file,
+                "fault": "some shards had no owner within the time limit",
+            }
         await asyncio.sleep(2.5)
         return await _measure_cell(cluster, demo_cell, seconds)
     finally:
@@ -111,12 +114,12 @@
     loop = asyncio.get_running_loop()
     started_at = loop.time()
     jobs = await _submit_jobs(cluster, demo_cell)
-    peak_packing = loop.create_task(_measure_peak_packing(cluster, seconds))
+    packing_task = loop.create_task(_measure_peak_packing(cluster, seconds))
     rng = random.Random(SEED)
     addresses = cluster.caller_addresses
     urgent, keyed = await asyncio.gather(
         send_load(
-            addresses, demo_cell.requests, REQUESTS_PER_SECOND, seconds, 1024, rng
+            addresses, demo_cell.service, REQUESTS_PER_SECOND, seconds, 1024, rng
         ),
         send_load(
             addresses,
@@ -141,7 +144,7 @@
         "keyed": _format_counts(keyed),
         "keyed p99 ms": round(percentile(keyed.latencies_s, 0.99) * 1000, 1),
         "jobs": jobs,
-        "peak packing": f"{await peak_packing:.0%}",
+        "peak packing": f"{await packing_task:.0%}",
         "peer B/s per daemon": round(peer_bytes_rate),
         "appends": cluster.log.appends,
     }
@@ -163,10 +166,10 @@
 async def _submit_jobs(cluster: Cluster, demo_cell: _DemoCell) -> int:
     pool = HttpPool()
     accepted = 0
-    submissions = [(demo_cell.flood, FLOOD_TASKS)] * 3 + [
-        (demo_cell.gang, 1)
+    submissions = [(demo_cell.batch_workload, BATCH_JOB_TASKS)] * 3 + [
+        (demo_cell.gang_workload, 1)
     ] * GANG_JOBS
-    submissions.append((demo_cell.single, 20))
+    submissions.append((demo_cell.single_workload, 20))
     for number, (workload, count) in enumerate(submissions):
         address = cluster.caller_addresses[number % len(cluster.caller_addresses)]
         target = f"/v1/jobs/{workload}?count={count}"
@@ -177,7 +180,7 @@
 
 
 async def _measure_peak_packing(cluster: Cluster, seconds: float) -> float:
-    """Return the peak fraction of all accelerators that is allocated to tasks."""
+    """Return the highest fraction of all accelerators that was allocated to tasks."""
     peak = 0.0
     for _ in range(int(seconds * 4)):
         await asyncio.sleep(0.25)
--- a/siskinroad/errors.py
+++ b/siskinroad/errors.py
@@ -24,7 +24,7 @@
 
 
 class Outcome(StrEnum):
-    """What is known about a request for which no upstream response was received."""
+    """Execution status of a request for which no upstream response was received."""
 
     NOT_RUN = "not run"
     UNKNOWN = "outcome unknown"
@@ -88,14 +88,14 @@
 
     key: str
     value: str
-    expected: str
+    allowed: str
 
     def __str__(self) -> str:
-        return f"{self.key}: got {self.value}, allowed: {self.expected}"
+        return f"{self.key}: got {self.value}, allowed: {self.allowed}"
 
 
 class ConfigError(SiskinroadError):
-    """A settings or cell file is not valid; lists every problem found."""
+    """Rejection of an invalid settings or cell file, with every problem found."""
 
     def __init__(self, source: str, problems: list[Problem]) -> None:
         lines = "\n".join(f"  {problem}" for problem in problems)
@@ -105,15 +105,23 @@
 
 
 class ConflictError(SiskinroadError):
-    """Another revision was applied first."""
+    """Conflict with another revision that was applied first."""
 
 
 class PlatformError(SiskinroadError):
-    """The platform did not reply; an append may have taken effect."""
+    """Failure of a call to the platform; an append may have taken effect."""
 
 
 class LogTrimmedError(PlatformError):
-    """Log records before offset ``first_offset`` are no longer retained."""
+    """Failure to read log records that are no longer retained.
+
+    Parameters
+    ----------
+    first_offset : int
+        Oldest offset that is still retained.
+    peer : str
+        Address of the platform; empty if there is none.
+    """
 
     def __init__(self, first_offset: int, *, peer: str = "") -> None:
         super().__init__(
@@ -125,23 +133,26 @@
 
 
 class ProtocolError(SiskinroadError):
-    """The remote side violated the protocol."""
+    """Violation of the protocol by the remote side."""
 
 
 class AuthError(SiskinroadError):
-    """A token or key is missing or wrong."""
+    """Rejection of a missing or wrong token or key."""
 
 
 class NotSentError(SiskinroadError):
-    """The request was not sent to the upstream, so it certainly did not run."""
+    """Failure to send a request, which therefore certainly did not run."""
 
 
 class OutcomeUnknownError(SiskinroadError):
-    """The request was sent, but no complete response was received."""
+    """Failure to receive the complete response to a request that may have run."""
 
 
 class StaleEpochError(SiskinroadError):
-    """The host has seen a higher epoch, so this daemon no longer owns it."""
+    """Rejection by a host that has seen a higher epoch.
+
+    This daemon no longer owns the host.
+    """
 
 
 class Refusal(SiskinroadError):
--- a/siskinroad/import_stubs.py
+++ b/siskinroad/import_stubs.py
@@ -13,7 +13,8 @@
 
 __all__ = ["stub_unused_imports"]
 
-# Modules whose import fails while asyncio and hashlib are imported; both work without.
+# Modules whose import fails while asyncio and hashlib are imported; both work without
+# them.
 BLOCKED_MODULES = ("ssl", "_ssl", "_hashlib")
 # Modules replaced by stubs while prometheus_client, which requires them, is imported.
 STUBBED_MODULES = (
--- a/siskinroad/load.py
+++ b/siskinroad/load.py
@@ -11,9 +11,9 @@
 
 __all__ = ["LoadResult", "percentile", "run_load", "send_load"]
 
-# Concurrent connections to one daemon. Requests beyond it fail at once as not sent and
-# count as errors.
-MAX_IN_FLIGHT = 256
+# Largest number of concurrent connections to one daemon. A request beyond it fails at
+# once as not sent and counts as an error.
+MAX_CONNECTIONS_PER_DAEMON = 256
 # Seconds after which a request without a complete response counts as an error.
 REQUEST_TIMEOUT_S = 30.0
 HTTP_OK = 200
@@ -44,7 +44,7 @@
 
 
 def percentile(values: list[float], fraction: float) -> float:
-    """Return the value below which a fraction of the values lie; 0 if there is none."""
+    """Return the value below which a fraction of the values lie; 0 without values."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -69,14 +69,14 @@
     rate : float
         Mean number of requests per second.
     seconds : float
-        How long new requests are sent.
+        Time during which new requests are sent.
     body_bytes : int
         Size of each request body in bytes.
     key_prefix : str
         If not empty, each request carries an idempotency key of its own.
     """
     loop = asyncio.get_running_loop()
-    pool = HttpPool(MAX_IN_FLIGHT)
+    pool = HttpPool(MAX_CONNECTIONS_PER_DAEMON)
     result = LoadResult()
     tasks: set[asyncio.Task[None]] = set()
     end = loop.time() + seconds
--- a/siskinroad/logs.py
+++ b/siskinroad/logs.py
@@ -42,7 +42,7 @@
     Attributes
     ----------
     dropped : int
-        Lines dropped since the start.
+        Number of lines dropped since the start.
     """
 
     def __init__(self, fd: int) -> None:
@@ -57,7 +57,7 @@
 
     def emit(self, record: logging.LogRecord) -> None:
         """Buffer a record and write what fits, or count the record as dropped."""
-        if not self._take_token(record):
+        if not self._consume_token(record):
             self.dropped += 1
             return
         if self.dropped > self._reported_drops:
@@ -71,7 +71,7 @@
             self._pending_bytes += len(line)
         self._write_pending()
 
-    def _take_token(self, record: logging.LogRecord) -> bool:
+    def _consume_token(self, record: logging.LogRecord) -> bool:
         elapsed_s = max(0.0, record.created - self._last_record_s)
         self._last_record_s = record.created
         self._tokens = min(BURST_LINES, self._tokens + elapsed_s * LINES_PER_SECOND)
--- a/siskinroad/peers.py
+++ b/siskinroad/peers.py
@@ -138,7 +138,8 @@
         self.faults = NetworkFaults()
         self.nodes: dict[str, MemoryTransport] = {}
         self.paused: dict[str, list[tuple[str, bytes]]] = {}
-        # Daemons on hosts without power: their peers get no notice of disconnection.
+        # Daemons on hosts without power: their peers are not notified of lost
+        # connections.
         self.powered_off: set[str] = set()
 
     def join(self, name: str, codec: Codec = CELL_CODEC) -> MemoryTransport:
@@ -216,7 +217,7 @@
         self.network.schedule_delivery(self.name, name, data)
 
     async def probe(self, name: str) -> Reachability:
-        """Return whether a peer's transport is open; see the base class."""
+        """Return the reachability of a peer; see the base class."""
         await asyncio.sleep(2 * self.network.delay)
         cut = self.network.faults.cut
         node = self.network.nodes.get(name)
--- a/siskinroad/peers_zmq.py
+++ b/siskinroad/peers_zmq.py
@@ -31,9 +31,9 @@
 # First and longest pause between two connection attempts.
 RECONNECT_INTERVAL_MS = 100
 RECONNECT_INTERVAL_MAX_MS = 400
-# Time limit, in seconds, of a probe of a peer whose connection was lost. It allows for
-# a round trip between regions and a short delay on a busy host.
-PROBE_TIMEOUT = 0.3
+# Time limit of a probe of a peer whose connection was lost. It allows for a round trip
+# between regions and a short delay on a busy host.
+PROBE_TIMEOUT_S = 0.3
 # Bounds the messages queued for each peer; further ones are dropped and counted.
 SEND_QUEUE_MESSAGES = 2000
 # Bounds the size of a received message; ZeroMQ disconnects a peer that exceeds it.
@@ -81,7 +81,7 @@
 
     Parameters
     ----------
-    cfg : LinkSettings
+    cfg : TransportSettings
         Name, address and keys of this daemon, and the peers known at startup.
     codec : Codec
         Encoder and decoder of the messages.
@@ -194,12 +194,16 @@
             return Reachability.SILENT
         ip, _, port = peer.address.rpartition(":")
         try:
-            async with asyncio.timeout(PROBE_TIMEOUT):
+            async with asyncio.timeout(PROBE_TIMEOUT_S):
                 _, writer = await asyncio.open_connection(ip, int(port))
         except ConnectionRefusedError:
             return Reachability.REFUSES
         except (OSError, TimeoutError) as exc:
-            log.debug("peers: probe of %s failed: %s", name, exc)
+            log.debug(
+                "peers: probe of %s failed or timed out; it counts as silent: %s",
+                name,
+                exc,
+            )
             return Reachability.SILENT
         writer.close()
         return Reachability.LISTENS
@@ -226,7 +230,7 @@
             self.unsent_count += 1
 
     async def close(self) -> None:
-        """Close all sockets."""
+        """Cancel the tasks and close all sockets."""
         tasks = [*self._tasks, *self._monitor_tasks.values()]
         for task in tasks:
             task.cancel()
@@ -254,7 +258,9 @@
         try:
             self.receiver(peer, msg)
         except Exception:
-            log.exception("peers: handling a message from %s failed", peer)
+            log.exception(
+                "peers: handling a message from %s failed; not repeated", peer
+            )
 
     def _set_keys(self, sock: zmq.asyncio.Socket) -> None:
         sock.curve_publickey = self.cfg.public_key.encode()
--- a/siskinroad/pictures.py
+++ b/siskinroad/pictures.py
@@ -26,9 +26,9 @@
         The reply of ``/v1/report``.
     """
     lines = report["lines"]
-    dimensions = [i for i in range(3) if report["capacity"][i]]
+    dimension_indices = [i for i in range(3) if report["capacity"][i]]
     height = HEADER_HEIGHT + sum(
-        (len(lines) * (BAR_HEIGHT + BAR_GAP) + 30) for _ in dimensions
+        (len(lines) * (BAR_HEIGHT + BAR_GAP) + 30) for _ in dimension_indices
     )
     elements = [
         f'<svg xmlns="http://www.w3.org/2000/svg" width="{PICTURE_WIDTH}" '
@@ -38,7 +38,7 @@
         _render_legend_entry("idle", 230),
     ]
     y = HEADER_HEIGHT
-    for dimension in dimensions:
+    for dimension in dimension_indices:
         elements.append(f'<text x="8" y="{y + 12}">{DIMENSIONS[dimension]}</text>')
         y += 18
         for line in lines:
--- a/siskinroad/platform.py
+++ b/siskinroad/platform.py
@@ -76,7 +76,7 @@
 class Platform(ABC):
     """Base class of clients of the platform.
 
-    Every method raises ``PlatformError`` if the platform does not reply in time.
+    Every method raises ``PlatformError`` if the call fails or exceeds its time limit.
     An append that raises may have taken effect all the same.
     """
 
--- a/siskinroad/platform_http.py
+++ b/siskinroad/platform_http.py
@@ -19,10 +19,10 @@
 
 _T = TypeVar("_T")
 
-# Time limit of one request to the platform, in seconds.
-REQUEST_TIMEOUT = 3.0
+# Time limit of one request to the platform.
+REQUEST_TIMEOUT_S = 3.0
 STATUS_OK = 200
-# The requested offset is no longer retained.
+# Status of a read whose start offset is no longer retained.
 STATUS_TRIMMED = 410
 
 
@@ -70,7 +70,7 @@
     ) -> ClientResponse:
         try:
             response = await self.pool.request(
-                self.address, method, target, body=body, timeout=REQUEST_TIMEOUT
+                self.address, method, target, body=body, timeout=REQUEST_TIMEOUT_S
             )
         except (NotSentError, OutcomeUnknownError) as exc:
             raise PlatformError(
@@ -85,9 +85,9 @@
         return response
 
 
-def _decode_body(response: ClientResponse, kind: type[_T], step: str) -> _T:
+def _decode_body(response: ClientResponse, reply_type: type[_T], step: str) -> _T:
     try:
-        return msgspec.json.decode(response.body, type=kind)
+        return msgspec.json.decode(response.body, type=reply_type)
     except msgspec.MsgspecError as exc:
         raise PlatformError(
             f"reply cannot be decoded: {exc}", step=f"platform.{step}"
--- a/siskinroad/platform_memory.py
+++ b/siskinroad/platform_memory.py
@@ -24,7 +24,7 @@
     down : bool
         All calls fail, and appends have no effect.
     lost_replies : int
-        Number of following appends that take effect although their replies are lost.
+        Number of further appends that take effect but whose replies are lost.
     delay : float
         Delay of each call, in seconds.
     cut : set of str
@@ -136,7 +136,9 @@
         offset = self.log.append(stream, data)
         if self.log.faults.lost_replies > 0:
             self.log.faults.lost_replies -= 1
-            raise PlatformError("reply lost", step="platform.append")
+            raise PlatformError(
+                "record appended, but its reply was lost", step="platform.append"
+            )
         return offset
 
     async def read(self, stream: str, start: int, limit: int) -> LogPage:
--- a/siskinroad/porcelain.py
+++ b/siskinroad/porcelain.py
@@ -42,9 +42,9 @@
     "watch",
 ]
 
-# Seconds to wait for a response; waiting for a job's end is added to it.
+# Time limit of a request; `watch` adds the time that it waits for a job's end.
 REQUEST_TIMEOUT_S = 30.0
-# How often `apply` sends a cell file before it reports a lost response.
+# Largest number of times that `apply` sends a cell file before it raises an error.
 MAX_APPLY_ATTEMPTS = 3
 
 Json = Any
@@ -101,8 +101,8 @@
 ) -> dict[str, Json]:
     """Apply a cell file.
 
-    The request is idempotent, so it is repeated after a lost response, up to
-    ``MAX_APPLY_ATTEMPTS`` times in all.
+    The request is idempotent, so it is sent again if it could not be sent or its
+    response was lost, up to ``MAX_APPLY_ATTEMPTS`` times in all.
 
     Returns
     -------
@@ -111,7 +111,7 @@
 
     Raises
     ------
-    ConfigError, ConflictError, OutcomeUnknownError
+    ConfigError, ConflictError, NotSentError, OutcomeUnknownError
     """
     text = _read_text(path)
     parse_cell(text, path)
@@ -166,7 +166,7 @@
 def submit(
     workload: str, at: str, *, count: int = 1, key: str = "", payload: bytes = b""
 ) -> dict[str, Json]:
-    """Submit a job; it is stored when this returns.
+    """Submit a job and return once it has been stored.
 
     Raises
     ------
@@ -217,8 +217,10 @@
     method: str, at: str, target: str, token: str, body: bytes = b""
 ) -> Json:
     headers = (("authorization", f"Bearer {token}"),) if token else ()
-    code, response = _send_request(method, at, target, body, headers, REQUEST_TIMEOUT_S)
-    match code:
+    status_code, response = _send_request(
+        method, at, target, body, headers, REQUEST_TIMEOUT_S
+    )
+    match status_code:
         case 200:
             return response
         case 409:
@@ -245,10 +247,10 @@
     headers: tuple[tuple[str, str], ...] = (),
     wait: float = 0.0,
 ) -> dict[str, Json]:
-    code, response = _send_request(
+    status_code, response = _send_request(
         method, at, target, body, headers, REQUEST_TIMEOUT_S + wait
     )
-    if code in (200, 202):
+    if status_code in (200, 202):
         return dict(response)
     raise Refusal(
         Reason(response["reason"]),
--- a/siskinroad/reference.py
+++ b/siskinroad/reference.py
@@ -31,7 +31,8 @@
     lines += [table.doc, "", "| key | allowed | default | |", "|---|---|---|---|"]
     for key, spec in table.fields.items():
         lines.append(
-            f"| `{key}` | {spec.allowed()} | {_format_default(spec)} | {spec.doc} |"
+            f"| `{key}` | {spec.describe_allowed()} "
+            f"| {_format_default(spec)} | {spec.doc} |"
         )
     lines.append("")
     for key, spec in table.fields.items():
@@ -43,6 +44,6 @@
 
 
 def _format_default(spec: Field) -> str:
-    if spec.required:
+    if spec.is_required:
         return "required"
     return "`" + repr(spec.default).replace("'", '"') + "`"
--- a/siskinroad/settings.py
+++ b/siskinroad/settings.py
@@ -131,7 +131,7 @@
         reader.add_problem("peer_address", values["peer_address"], allowed)
 
 
-def _check_keys(values: dict[str, Any], reader: Reader) -> None:
+def _check_keys_and_token_hash(values: dict[str, Any], reader: Reader) -> None:
     keys = ("public_key", "secret_key")
     for key in keys:
         if values[key] and len(values[key]) != 40:
@@ -168,7 +168,7 @@
     values = reader.validate_table(parse_toml(text, source), SETTINGS_TABLE, "")
     if not reader.problems:
         _check_exposed_listeners(values, reader)
-        _check_keys(values, reader)
+        _check_keys_and_token_hash(values, reader)
     if reader.problems:
         raise ConfigError(source, reader.problems)
     values["peers"] = tuple(Peer(**peer) for peer in values["peers"])
--- a/siskinroad/stand_in_servers.py
+++ b/siskinroad/stand_in_servers.py
@@ -19,8 +19,9 @@
 
 __all__ = ["HostServer", "PlatformServer"]
 
-# Seconds; long enough that the caller's own time limit ends a request first.
-REQUEST_TIMEOUT = 3600.0
+# Time limit of a forwarded request; long enough that the caller's own time limit ends
+# the request first.
+REQUEST_TIMEOUT_S = 3600.0
 
 
 class PlatformServer:
@@ -63,7 +64,7 @@
     def __init__(self, memory_host: MemoryHost, host: Host) -> None:
         self.memory_host = memory_host
         self.host = host
-        self.memory = MemoryUpstreamClient({host.name: memory_host}, delay=0.0)
+        self.client = MemoryUpstreamClient({host.name: memory_host}, delay=0.0)
         self.http = HttpServer(self.handle)
 
     async def handle(self, req: HttpRequest) -> HttpResponse:
@@ -81,24 +82,26 @@
         match (req.method, req.path):
             case ("POST", "/inventory"):
                 query = msgspec.json.decode(req.body, type=InventoryQuery)
-                found = await self.memory.inventory(
+                found = await self.client.inventory(
                     self.host, epoch, query.acked, query.wait, query.renew
                 )
                 return HttpResponse(200, msgspec.json.encode(found))
             case ("PUT", "/tasks"):
                 start = msgspec.json.decode(req.body, type=TaskStart)
-                await self.memory.start(self.host, epoch, start)
+                await self.client.start(self.host, epoch, start)
                 return HttpResponse(200)
             case ("POST", path) if path.startswith("/control/"):
                 action = Control(path.rpartition("/")[2])
-                await self.memory.control(self.host, epoch, req.body.decode(), action)
+                await self.client.control(self.host, epoch, req.body.decode(), action)
                 return HttpResponse(200)
         return await self._forward_request(req, epoch)
 
     async def _forward_request(self, req: HttpRequest, epoch: int) -> HttpResponse:
         attempt = req.headers.get(ATTEMPT_HEADER, "")
-        answer = await self.memory.request(
-            self.host, attempt, epoch, req.path, req.body, REQUEST_TIMEOUT
+        response = await self.client.request(
+            self.host, attempt, epoch, req.path, req.body, REQUEST_TIMEOUT_S
         )
         header = ((ATTEMPT_HEADER, attempt),)
-        return HttpResponse(answer.status, answer.body, answer.content_type, header)
+        return HttpResponse(
+            response.status, response.body, response.content_type, header
+        )
--- a/siskinroad/upstreams.py
+++ b/siskinroad/upstreams.py
@@ -32,7 +32,7 @@
 
 
 class Control(StrEnum):
-    """Control actions that an owner can apply to a running task."""
+    """Control action that an owner applies to a running task."""
 
     STOP = "stop"
     CHECKPOINT = "checkpoint"
@@ -65,7 +65,10 @@
 
 
 class TaskReport(msgspec.Struct, frozen=True):
-    """One task in a host's inventory; ended tasks stay until acknowledged."""
+    """One task in a host's inventory, with its run time in seconds.
+
+    An ended task stays in the inventory until the owner acknowledges its end.
+    """
 
     task: str
     attempt: str
@@ -125,7 +128,7 @@
     async def inventory(
         self, host: Host, epoch: int, acked: list[str], wait: float, renew: bool
     ) -> Inventory:
-        """Return all tasks of a host and let it forget acknowledged ones.
+        """Drop the acknowledged tasks of a host and return all others.
 
         Parameters
         ----------
--- a/siskinroad/upstreams_http.py
+++ b/siskinroad/upstreams_http.py
@@ -32,10 +32,10 @@
 EPOCH_HEADER = "siskinroad-epoch"
 OUTCOME_HEADER = "siskinroad-outcome"
 NOT_RUN = "not run"
-# Time limit, in seconds, of a start or control call, and of an inventory call beyond
-# the time that the host may wait for a task to end.
-CONTROL_TIMEOUT = 2.0
-# Sent with the epoch header: the host has seen a higher epoch.
+# Time limit of a start or control call, and of an inventory call beyond the time that
+# the host may wait for a task to end.
+CONTROL_TIMEOUT_S = 2.0
+# With the epoch header in the response: the host has seen a higher epoch.
 STATUS_STALE_EPOCH = 412
 STATUS_OK = 200
 
@@ -72,18 +72,18 @@
         echoed = response.headers.get(ATTEMPT_HEADER, attempt)
         if echoed != attempt:
             raise OutcomeUnknownError(
-                f"got the response to another attempt: {echoed}",
+                f"expected the response to this attempt, got that to {echoed}",
                 step="upstream",
                 peer=host.name,
             )
-        kind = response.headers.get("content-type", "application/octet-stream")
-        return UpstreamResponse(response.status, response.body, kind)
+        content_type = response.headers.get("content-type", "application/octet-stream")
+        return UpstreamResponse(response.status, response.body, content_type)
 
     async def start(self, host: Host, epoch: int, start: TaskStart) -> None:
         """Start a task; see the base class."""
         body = msgspec.json.encode(start)
         response = await self._send_request(
-            host, epoch, "PUT", "/tasks", body, CONTROL_TIMEOUT
+            host, epoch, "PUT", "/tasks", body, CONTROL_TIMEOUT_S
         )
         _expect_ok(response, host)
 
@@ -94,7 +94,7 @@
         target = f"/control/{action.value}"
         body = attempt.encode()
         response = await self._send_request(
-            host, epoch, "POST", target, body, CONTROL_TIMEOUT
+            host, epoch, "POST", target, body, CONTROL_TIMEOUT_S
         )
         _expect_ok(response, host)
 
@@ -103,7 +103,7 @@
     ) -> Inventory:
         """Return all tasks of a host; see the base class."""
         body = msgspec.json.encode(InventoryQuery(acked, wait, renew))
-        timeout = wait + CONTROL_TIMEOUT
+        timeout = wait + CONTROL_TIMEOUT_S
         response = await self._send_request(
             host, epoch, "POST", "/inventory", body, timeout
         )
--- a/siskinroad/upstreams_memory.py
+++ b/siskinroad/upstreams_memory.py
@@ -1,4 +1,4 @@
-"""In-memory upstream hosts with fault injection and a record of all they ran."""
+"""In-memory upstream hosts with fault injection and a record of the work they ran."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 
 __all__ = ["HostEvent", "HostFaults", "MemoryHost", "MemoryUpstreamClient"]
 
-# Longest interval, in seconds, between two checks for due tasks and expired leases
-# while an inventory call waits.
-SWEEP_INTERVAL = 0.25
+# Longest interval between two checks for due tasks and expired leases while an
+# inventory call waits.
+SWEEP_INTERVAL_S = 0.25
 
 
 @dataclass(slots=True)
@@ -100,6 +100,8 @@
         Starts and ends of all tasks and requests, for checks of the invariants.
     sequence : iterator of int
         Source of event numbers; hosts may share one.
+    requests : int
+        Number of running requests.
     """
 
     name: str
@@ -190,7 +192,7 @@
         ]
 
     def crash(self, now: float) -> None:
-        """Fail all running tasks and forget all tasks, as in a crash or restart."""
+        """Fail all running tasks and drop all tasks, as in a crash or restart."""
         for task in self.tasks.values():
             if task.state is TaskState.RUNNING:
                 self.end_task(task, TaskState.FAILED, now)
@@ -318,11 +320,11 @@
                 t.state is not TaskState.RUNNING for t in memory_host.tasks.values()
             ):
                 return
-            running = [t.ends_at for t in memory_host.tasks.values()]
-            next_end = min([*running, deadline])
-            pause = min(max(next_end - loop.time(), 0.001), SWEEP_INTERVAL)
+            end_times = [t.ends_at for t in memory_host.tasks.values()]
+            next_end = min([*end_times, deadline])
+            pause_s = min(max(next_end - loop.time(), 0.001), SWEEP_INTERVAL_S)
             try:
-                async with asyncio.timeout(pause):
+                async with asyncio.timeout(pause_s):
                     await memory_host.changed.wait()
             except TimeoutError:
                 pass
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -5,16 +5,17 @@
 
 
 def test_page_holds_the_tables_of_the_recorded_measurements():
+    """A new measurement must not leave old figures on the page."""
     text = PAGE.read_text()
     found = text.split(BEGIN_MARK)[1].split(END_MARK)[0].strip()
     assert found == render_tables().strip()
 
 
-# The bounds for data centres of 7 daemons: 5,000 control bytes a second from each
-# daemon, 1,000 bytes a second between two data centres
-
-
 def test_control_messages_stay_within_their_byte_rates():
+    """Bounds for data centres of 7 daemons, in control bytes per second.
+
+    5,000 from each daemon and 1,000 between two data centres.
+    """
     size = measure_message_sizes()
     heartbeat = size["heartbeat that names the admitted"]
     heartbeats = 2 * 6 * (heartbeat + size["heartbeat, a shard more"])
@@ -23,5 +24,6 @@
 
 
 def test_cell_change_is_recorded_as_a_delta():
+    """A record with the text of the whole cell file would be far larger."""
     size = measure_message_sizes()
     assert size["change record"] * 100 < size["whole cell file"]
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP client: not-sent errors, unknown outcomes, stale connections."""
+"""The HTTP client: not-sent errors, unknown outcomes, stale connections."""
 
 import asyncio
 
@@ -11,7 +11,10 @@
 
 
 async def serve(respond):
-    """Serve raw replies; None keeps silent, one that ends in ``!`` is cut off."""
+    """Serve the raw replies that ``respond`` returns for each request.
+
+    None sends no reply; after one that ends in ``!``, the connection is closed.
+    """
 
     async def accept(reader, writer):
         while True:
@@ -36,8 +39,8 @@
         address = await serve(lambda head: OK)
         pool = HttpPool()
         for _ in range(3):
-            answer = await pool.request(address, "GET", "/")
-            assert answer.body == b"ok"
+            response = await pool.request(address, "GET", "/")
+            assert response.body == b"ok"
         assert pool.opened == 1
         with pytest.raises(NotSentError):
             await pool.request(free_addresses(1)[0], "GET", "/")
@@ -46,7 +49,7 @@
 
 
 def test_a_truncated_response_leaves_the_outcome_unknown():
-    """A body cut off by a lost connection must not be returned as whole."""
+    """A body cut off by a lost connection must not be returned as complete."""
 
     async def main():
         truncated = b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\ncut!"
@@ -77,6 +80,8 @@
 
 
 def test_connections_to_a_peer_are_limited():
+    """A request beyond the limit must fail as not sent, so it may be sent again."""
+
     async def main():
         address = await serve(lambda head: None)
         pool = HttpPool(connections_per_peer=1)
--- a/tests/test_import_stubs.py
+++ b/tests/test_import_stubs.py
@@ -21,7 +21,7 @@
 
 
 def test_daemon_modules_and_metrics_work_after_stub_unused_imports():
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", CODE], capture_output=True, text=True, check=False
     )
-    assert (done.stdout.strip(), done.stderr) == ("[]", "")
+    assert (completed.stdout.strip(), completed.stderr) == ("[]", "")
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -53,6 +53,7 @@
 
 
 def test_no_imports_form_a_cycle():
+    """A module of a cycle may be imported before the names that it needs exist."""
     graph = build_import_graph()
     assert len(graph) > 100
     assert not [found for name in graph if (found := find_cycle(name, graph))]
--- a/tests/test_peers_zmq.py
+++ b/tests/test_peers_zmq.py
@@ -1,4 +1,4 @@
-"""Tests of the ZeroMQ transport over loopback sockets."""
+"""The ZeroMQ transport over loopback sockets: delivery, keys and lost connections."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 # Messages sent, 50 ms apart, before a missing delivery counts as a failure.
 MAX_SENDS = 1000
 # Messages sent, 50 ms apart, before a peer counts as rejected (2 s).
-REFUSED_SENDS = 40
+REJECTED_SENDS = 40
 
 
 def open_transport(name, address, peers, keys=("", "")):
@@ -41,6 +41,8 @@
 
 
 def test_messages_are_delivered_with_and_without_keys():
+    """Messages arrive in both directions; one to an unknown peer counts as unsent."""
+
     async def main(with_keys):
         address_a, address_b = free_addresses(2)
         keys = [generate_keys() if with_keys else ("", "") for _ in range(2)]
@@ -63,6 +65,8 @@
 
 
 def test_messages_from_a_peer_with_an_unknown_key_are_rejected():
+    """A process that holds no allowed key must not reach a daemon's receiver."""
+
     async def main():
         address_a, address_b = free_addresses(2)
         known_keys, own_keys, unknown_keys = (
@@ -76,7 +80,7 @@
         a, _ = open_transport(
             "a", address_a, (Peer("b", address_b, "d", "r", own_keys[0]),), unknown_keys
         )
-        assert not await send_until_received(received_b, a, "b", REFUSED_SENDS)
+        assert not await send_until_received(received_b, a, "b", REJECTED_SENDS)
         await a.close()
         await b.close()
 
@@ -139,11 +143,11 @@
         await b.close()
         while "b" not in a._lost_peers:
             await asyncio.sleep(0.01)
-        old_dealer = a._dealers["b"]
+        lost_dealer = a._dealers["b"]
         b, received_b = open_transport("b", address_b, ())
         a.update_peer(peer)
         a.send("b", ForwardAck("x"))
-        assert a._dealers["b"] is not old_dealer
+        assert a._dealers["b"] is not lost_dealer
         assert await send_until_received(received_b, a, "b")
         await a.close()
         await b.close()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -85,7 +85,7 @@
         )
 
     async def wait_until(self, condition, tries=100):
-        """Wait until a condition holds; fail after so many tries, 0.1 s apart."""
+        """Wait until a condition holds; fail after ``tries`` checks, 0.1 s apart."""
         for _ in range(tries):
             try:
                 if await condition():
@@ -158,7 +158,7 @@
 
 
 def test_successor_of_a_killed_owner_serves_and_stops_cleanly(tmp_path):
-    """The daemon left serves alone, and SIGTERM ends it with exit code 0."""
+    """The remaining daemon must serve alone and end with exit code 0 on SIGTERM."""
 
     async def scenario(pair):
         owner = await find_owner(pair)
@@ -229,6 +229,8 @@
 
 
 def test_commands_against_real_daemons(tmp_path):
+    """Subcommands must print what daemons reply and exit with the documented code."""
+
     async def scenario(pair):
         owner = await find_owner(pair)
         callers, operators, _ = pair.addresses[owner]
