--- a/siskinroad/cli.py
+++ b/siskinroad/cli.py
@@ -295,9 +295,9 @@
 
     def run(self, args: Args) -> int:
         """Print the page as Markdown."""
-        from siskinroad.reference import reference
+        from siskinroad.reference import render_reference
 
-        print(reference(), end="")
+        print(render_reference(), end="")
         return EXIT_OK
 
 
--- a/siskinroad/demo.py
+++ b/siskinroad/demo.py
@@ -151,7 +151,7 @@
 
 
 def _format_counts(result: LoadResult) -> str:
-    refused = sum(result.refused.values()) + result.errors
+    refused = sum(result.refused.values()) + result.error_count
     return f"{len(result.latencies_s)} ok, {refused} failed"
 
 
--- a/siskinroad/load.py
+++ b/siskinroad/load.py
@@ -29,14 +29,14 @@
 
     latencies_s: list[float] = field(default_factory=list)
     refused: dict[int, int] = field(default_factory=dict)
-    errors: int = 0
+    error_count: int = 0
 
     def summarize(self) -> dict[str, float]:
         """Return counts and latencies in milliseconds by name."""
         return {
             "answered": len(self.latencies_s),
             "refused": sum(self.refused.values()),
-            "errors": self.errors,
+            "errors": self.error_count,
             "median_ms": round(percentile(self.latencies_s, 0.5) * 1000, 2),
             "p99_ms": round(percentile(self.latencies_s, 0.99) * 1000, 2),
             "max_ms": round(max(self.latencies_s, default=0.0) * 1000, 2),
@@ -120,7 +120,7 @@
             timeout=REQUEST_TIMEOUT_S,
         )
     except SiskinroadError:
-        result.errors += 1
+        result.error_count += 1
         return
     if response.status == HTTP_OK:
         result.latencies_s.append(loop.time() - started_at)
--- a/siskinroad/platform_memory.py
+++ b/siskinroad/platform_memory.py
@@ -53,24 +53,24 @@
 
     Attributes
     ----------
-    retention : int
-        Maximum number of records retained per stream.
+    max_records_per_stream : int
+        Largest number of records that a stream retains; older ones are trimmed.
     host_lists : dict
         State of each listed host, by data centre and host name.
     appends, reads : int
         Number of appends and reads since the start.
-    bytes_in, bytes_out : int
+    bytes_appended, bytes_read : int
         Bytes appended and read since the start.
     """
 
-    retention: int = 100_000
+    max_records_per_stream: int = 100_000
     faults: PlatformFaults = field(default_factory=PlatformFaults)
     host_lists: dict[str, dict[str, HostState]] = field(default_factory=dict)
     list_version: int = 1
     appends: int = 0
     reads: int = 0
-    bytes_in: int = 0
-    bytes_out: int = 0
+    bytes_appended: int = 0
+    bytes_read: int = 0
     streams: dict[str, _Stream] = field(default_factory=dict)
 
     def append(self, stream: str, data: bytes) -> int:
@@ -79,8 +79,8 @@
         offset = log.tail
         log.records.append(data)
         self.appends += 1
-        self.bytes_in += len(data)
-        if len(log.records) > self.retention:
+        self.bytes_appended += len(data)
+        if len(log.records) > self.max_records_per_stream:
             log.records.popleft()
             log.first += 1
         return offset
@@ -94,7 +94,7 @@
         high = min(low + limit, len(log.records))
         records = [log.records[i] for i in range(low, high)]
         self.reads += 1
-        self.bytes_out += sum(map(len, records))
+        self.bytes_read += sum(map(len, records))
         return LogPage(log.first, log.first + low, records, log.tail)
 
     def set_host_state(self, data_centre: str, name: str, state: HostState) -> None:
--- a/siskinroad/reference.py
+++ b/siskinroad/reference.py
@@ -6,10 +6,10 @@
 from siskinroad.checks import Field, Table
 from siskinroad.settings import SETTINGS_TABLE
 
-__all__ = ["reference"]
+__all__ = ["render_reference"]
 
 
-def reference() -> str:
+def render_reference() -> str:
     """Return the reference page of both files as Markdown."""
     lines = [
         "# Reference of the files",
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -28,6 +28,7 @@
 
 
 def test_unreachable_daemon_exits_with_code_4(tmp_path, capsys):
+    """Scripts tell a daemon that was not reached from a refusal by the exit code."""
     unused_address = free_addresses(1)[0]
     assert main(["status", f"--at={unused_address}"]) == 4
     cell = tmp_path / "cell.toml"
@@ -37,6 +38,7 @@
 
 
 def test_invalid_settings_report_every_problem(tmp_path, capsys):
+    """Validation must not stop at the first problem of a file."""
     file = tmp_path / "entry.toml"
     file.write_text('name = "a b"\ncallers = "here"\nextra = 1\n')
     assert main(["entry", str(file)]) == 1
--- a/tests/test_design.py
+++ b/tests/test_design.py
@@ -25,6 +25,7 @@
 
 
 def test_design_page_names_only_code_that_exists():
+    """A name renamed or removed in the code must not remain on the page."""
     names = NAME.findall(PAGE.read_text())
     assert len(names) > 20
     for name in names:
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -35,6 +35,8 @@
 
 
 def test_a_connection_is_reused_and_a_refused_one_raises_not_sent():
+    """A refused connection proves that the request did not run."""
+
     async def main():
         address = await serve(lambda head: OK)
         pool = HttpPool()
--- a/tests/test_import_stubs.py
+++ b/tests/test_import_stubs.py
@@ -21,6 +21,7 @@
 
 
 def test_daemon_modules_and_metrics_work_after_stub_unused_imports():
+    """A library that needs a stubbed module must not fail later, nor must ``ssl``."""
     completed = subprocess.run(
         [sys.executable, "-c", CODE], capture_output=True, text=True, check=False
     )
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -66,6 +66,7 @@
 
 
 def test_the_product_does_not_import_the_platform_adapter():
+    """``siskinroad`` must run without the names and formats of one platform."""
     for name, path in find_modules().items():
         if name.startswith("siskinroad"):
             assert not {
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -20,7 +20,7 @@
 
 
 def test_stalled_reader_does_not_block_the_writer():
-    # A full pipe would block a plain write, and with it the event loop.
+    """A full pipe would block a plain write, and with it the event loop."""
     read, write = os.pipe()
     handler = make_handler(write)
     for i in range(int(logs.BURST_LINES)):
@@ -32,6 +32,7 @@
 
 
 def test_lines_beyond_the_rate_limit_are_dropped_and_counted():
+    """A flood of records must not use up the processor, nor be lost unnoticed."""
     read, write = os.pipe()
     handler = make_handler(write)
     count = int(logs.BURST_LINES) + 50
