--- a/siskinroad/forwarding.py
+++ b/siskinroad/forwarding.py
@@ -1,8 +1,8 @@
 """Forwarding of requests to the daemon that owns their shard.
 
 The sender repeats a request until it is acknowledged, then polls for its reply until
-it arrives, so that messages lost on a silent connection do no harm. The receiver runs
-each request once. A peer that acknowledges nothing for ``PEER_SILENCE_TIMEOUT``
+it arrives, so that a lost message only delays the reply. The receiver runs each request
+at most once. A peer that acknowledges nothing for ``PEER_SILENCE_TIMEOUT``
 seconds counts as lost.
 """
 
@@ -27,14 +27,14 @@
 # Seconds beyond a request's deadline for which its reply is awaited, so that the
 # owner's own refusal arrives before the forwarder's time limit.
 REPLY_MARGIN = 1.0
-# Bytes of replies that are kept for peers that poll again, counting
+# Most bytes of replies that are cached for peers that poll again, counting
 # ``REPLY_OVERHEAD`` bytes for each. A reply that is dropped too early leaves the
 # outcome of its request unknown to the sender.
-MAX_KEPT_BYTES = 1 << 20
+MAX_CACHED_BYTES = 1 << 20
 REPLY_OVERHEAD = 400
-# Number of request ids that are remembered. A request that is repeated after its id
-# has been dropped would run twice.
-MAX_KEPT_IDS = 5000
+# Most request ids that are remembered. A request that is repeated after its id has
+# been dropped would run twice.
+MAX_SEEN_IDS = 5000
 
 Send = Callable[[str, Message], None]
 
@@ -45,7 +45,7 @@
 
     fut: asyncio.Future[Reply]
     last_ack_at: float
-    acked: bool = False
+    is_acked: bool = False
 
 
 class Forwarder:
@@ -81,7 +81,7 @@
             raise _peer_lost_refusal(peer) from None
         finally:
             del self._pending[msg.id]
-        return _to_answer(reply, peer)
+        return _decode_reply(reply, peer)
 
     async def _exchange(
         self, peer: str, msg: Forward, pending: _PendingForward
@@ -90,7 +90,9 @@
         while not pending.fut.done():
             if loop.time() - pending.last_ack_at >= PEER_SILENCE_TIMEOUT:
                 raise _peer_lost_refusal(peer)
-            self.send(peer, ForwardQuery(self.name, msg.id) if pending.acked else msg)
+            self.send(
+                peer, ForwardQuery(self.name, msg.id) if pending.is_acked else msg
+            )
             await asyncio.wait({pending.fut}, timeout=RESEND_INTERVAL)
         return pending.fut.result()
 
@@ -98,7 +100,7 @@
         """Record that the peer has received a request."""
         pending = self._pending.get(msg.id)
         if pending is not None:
-            pending.acked = True
+            pending.is_acked = True
             pending.last_ack_at = asyncio.get_running_loop().time()
 
     def receive_reply(self, msg: Reply) -> bool:
@@ -120,7 +122,7 @@
     )
 
 
-def _to_answer(reply: Reply, peer: str) -> UpstreamResponse:
+def _decode_reply(reply: Reply, peer: str) -> UpstreamResponse:
     if not reply.reason:
         return UpstreamResponse(reply.status, reply.body, reply.content_type)
     raise Refusal(
@@ -134,7 +136,7 @@
 
 
 class Receiver:
-    """Receiver of forwarded requests, which runs each one once.
+    """Receiver of forwarded requests, which runs each one at most once.
 
     Parameters
     ----------
@@ -152,13 +154,13 @@
         self.send = send
         self.run = run
         self.running: dict[str, asyncio.Task[None]] = {}
-        self._replies: OrderedDict[str, Reply] = OrderedDict()
-        self._kept_bytes = 0
+        self._cached_replies: OrderedDict[str, Reply] = OrderedDict()
+        self._cached_bytes = 0
         self._seen_ids: OrderedDict[str, None] = OrderedDict()
 
     def receive(self, msg: Forward) -> None:
         """Handle a forwarded request, which may be a repetition."""
-        reply = self._replies.get(msg.id)
+        reply = self._cached_replies.get(msg.id)
         if reply is not None:
             self.send(msg.name, reply)
         elif msg.id in self.running:
@@ -170,7 +172,7 @@
 
     def receive_query(self, msg: ForwardQuery) -> None:
         """Reply to a peer that polls for the reply to its request."""
-        reply = self._replies.get(msg.id)
+        reply = self._cached_replies.get(msg.id)
         if reply is not None:
             self.send(msg.name, reply)
         elif msg.id in self.running:
@@ -180,7 +182,7 @@
 
     def _start(self, msg: Forward) -> None:
         self._seen_ids[msg.id] = None
-        if len(self._seen_ids) > MAX_KEPT_IDS:
+        if len(self._seen_ids) > MAX_SEEN_IDS:
             self._seen_ids.popitem(last=False)
         self.send(msg.name, ForwardAck(msg.id))
         task = asyncio.get_running_loop().create_task(self._serve(msg))
@@ -203,21 +205,21 @@
             reply = _refusal_reply(msg.id, refusal)
         finally:
             del self.running[msg.id]
-        self._keep_reply(reply)
+        self._cache_reply(reply)
         self.send(msg.name, reply)
 
-    def _keep_reply(self, reply: Reply) -> None:
-        """Keep a reply for a peer that polls again, up to ``MAX_KEPT_BYTES``."""
-        self._replies[reply.id] = reply
-        self._kept_bytes += len(reply.body) + REPLY_OVERHEAD
-        while self._kept_bytes > MAX_KEPT_BYTES and len(self._replies) > 1:
-            _, oldest = self._replies.popitem(last=False)
-            self._kept_bytes -= len(oldest.body) + REPLY_OVERHEAD
+    def _cache_reply(self, reply: Reply) -> None:
+        """Cache a reply for a peer that polls again, up to ``MAX_CACHED_BYTES``."""
+        self._cached_replies[reply.id] = reply
+        self._cached_bytes += len(reply.body) + REPLY_OVERHEAD
+        while self._cached_bytes > MAX_CACHED_BYTES and len(self._cached_replies) > 1:
+            _, oldest = self._cached_replies.popitem(last=False)
+            self._cached_bytes -= len(oldest.body) + REPLY_OVERHEAD
 
 
-def _refusal_reply(key: str, exc: Refusal) -> Reply:
+def _refusal_reply(request_id: str, exc: Refusal) -> Reply:
     return Reply(
-        key,
+        request_id,
         reason=exc.reason.value,
         step=exc.step,
         outcome=exc.outcome.value,
--- a/siskinroad/host_monitor.py
+++ b/siskinroad/host_monitor.py
@@ -29,7 +29,7 @@
 INVENTORY_MARGIN = 1.0
 # Seconds between inventory requests to a silent host.
 SILENT_RETRY_INTERVAL = 1.0
-# Seconds added to a lease before its tasks are taken as ended. Without it, a task
+# Seconds added to a lease before its tasks count as lost. Without it, a task
 # could be started elsewhere while the silent host still runs it.
 LEASE_MARGIN = 1.0
 # Pauses between inventories in seconds: the shortest, and the longest while the
@@ -38,8 +38,8 @@
 MIN_PAUSE = 0.02
 MAX_UNCHANGED_PAUSE = 1.0
 # Names under which the host index reserves resources for work of earlier owners:
-# requests in progress, and tasks that no accepted job accounts for.
-LEFTOVER_REQUESTS = "requests-of-others~0"
+# requests in progress, and tasks that must not run and were told to stop.
+EARLIER_OWNERS_REQUESTS = "requests-of-others~0"
 UNKNOWN_TASK = "stranger"
 
 END_BY_STATE = {
@@ -57,11 +57,13 @@
     Attributes
     ----------
     has_answered : bool
-        The host has answered an inventory request of this owner.
+        The host has answered an inventory request of this owner, or the owner has
+        stopped waiting for it after the takeover.
     is_silent : bool
         The last inventory request failed or timed out.
     last_renewal : float
-        Loop time of the last request that may have renewed its task leases.
+        Loop time at which the last request that may have renewed its task leases
+        ended.
     leases_expired : bool
         Its task leases have expired since it became silent.
     is_removed : bool
@@ -81,7 +83,7 @@
     is_unchanged : bool
         The last two inventories were the same, for example because ended tasks
         cannot be acknowledged while the log is unavailable.
-    leftover_requests : int
+    earlier_owners_requests : int
         Requests of earlier owners in progress on the host; -1 before the first
         inventory.
     """
@@ -97,7 +99,7 @@
     acked: list[str] = field(default_factory=list)
     controls_to_retry: list[ControlTask] = field(default_factory=list)
     unrecorded: set[str] = field(default_factory=set)
-    leftover_requests: int = -1
+    earlier_owners_requests: int = -1
     last_reported: list[tuple[str, TaskState]] = field(default_factory=list)
     is_unchanged: bool = False
 
@@ -119,7 +121,7 @@
             Renew the leases of the tasks that run on the host.
         """
         loop = asyncio.get_running_loop()
-        asked_at = loop.time()
+        requested_at = loop.time()
         acked, self.acked = self.acked, []
         try:
             async with asyncio.timeout(wait + INVENTORY_MARGIN):
@@ -138,7 +140,7 @@
         self._mark_answered(owner)
         reported = [(report.attempt, report.state) for report in inventory.tasks]
         self.is_unchanged, self.last_reported = reported == self.last_reported, reported
-        _apply_inventory(owner, self, inventory, asked_at)
+        _apply_inventory(owner, self, inventory, requested_at)
         return True
 
     def _mark_silent(self, owner: MonitoredOwner, now: float, renew: bool) -> None:
@@ -156,10 +158,10 @@
         owner.host_event(self.host.name, "inventory")
 
     def check_lease_expiry(
-        self, owner: MonitoredOwner, lease: float, now: float
+        self, owner: MonitoredOwner, lease_s: float, now: float
     ) -> None:
         """End the tasks of a silent host as lost once their leases have expired."""
-        if self.leases_expired or now < self.last_renewal + lease + LEASE_MARGIN:
+        if self.leases_expired or now < self.last_renewal + lease_s + LEASE_MARGIN:
             return
         self.leases_expired = True
         owner.ports.count_event("host", "lapsed")
@@ -207,7 +209,10 @@
 
 
 def _apply_inventory(
-    owner: MonitoredOwner, monitor: HostMonitor, inventory: Inventory, asked_at: float
+    owner: MonitoredOwner,
+    monitor: HostMonitor,
+    inventory: Inventory,
+    requested_at: float,
 ) -> None:
     """Reconcile the scheduler's state with a host's inventory."""
     if inventory.leaving:
@@ -230,8 +235,8 @@
         if name is not None and report.state is not TaskState.RUNNING:
             _apply_ended_task(owner, monitor, name, report)
     listed = {report.attempt for report in inventory.tasks}
-    _end_unlisted_tasks(owner, monitor, view, listed, asked_at)
-    _reserve_leftover_requests(owner, monitor, view, inventory.requests)
+    _end_unlisted_tasks(owner, monitor, view, listed, requested_at)
+    _reserve_requests_of_earlier_owners(owner, monitor, view, inventory.requests)
     now = asyncio.get_running_loop().time()
     owner.run(owner.scheduler.apply_usage(monitor.host.name, usage, now))
     controls, monitor.controls_to_retry = monitor.controls_to_retry, []
@@ -245,14 +250,14 @@
     report: TaskReport,
     usage: list[tuple[str, int, Usage]],
 ) -> bool:
-    """Apply the report of a running task; stop it if no job accounts for it.
+    """Apply the report of a running task; stop the task if it must not run.
 
     Returns False if the task was told to stop.
     """
     host = monitor.host.name
     run = owner.scheduler.shard.running.get(name.key)
-    known = run is not None and run.attempt == name.run and name.member in run.hosts
-    if not known and not owner.tasks.adopt(name, host):
+    is_known = run is not None and run.attempt == name.run and name.member in run.hosts
+    if not is_known and not owner.tasks.adopt(name, host):
         stop = ControlTask(name.key, name.run, host, name.member, Control.STOP)
         owner.run([stop])
         return False
@@ -308,14 +313,14 @@
     monitor: HostMonitor,
     view: HostView,
     listed: set[str],
-    asked_at: float,
+    requested_at: float,
 ) -> None:
     """End as lost the tasks that are missing from an inventory.
 
     An inventory requested before the last start on the host ended may lack that
     task, so it ends none.
     """
-    if monitor.last_start_ended_at >= asked_at:
+    if monitor.last_start_ended_at >= requested_at:
         return
     now = asyncio.get_running_loop().time()
     for task in list(view.tasks):
@@ -328,25 +333,29 @@
             owner.run(owner.scheduler.record_attempt_end(key, member, End.LOST, now))
 
 
-def _reserve_leftover_requests(
+def _reserve_requests_of_earlier_owners(
     owner: MonitoredOwner, monitor: HostMonitor, view: HostView, requests: int
 ) -> None:
     """Reserve capacity for requests that earlier owners left on the host."""
-    if monitor.leftover_requests == 0:
+    if monitor.earlier_owners_requests == 0:
         return
     index = owner.scheduler.shard.pool_state(view.name).index
-    if LEFTOVER_REQUESTS in view.tasks:
-        index.release(view, LEFTOVER_REQUESTS, LEFTOVER_REQUESTS)
-    leftover = max(0, requests - _count_own_requests(owner, view))
-    monitor.leftover_requests = (
-        leftover
-        if monitor.leftover_requests < 0
-        else min(leftover, monitor.leftover_requests)
+    if EARLIER_OWNERS_REQUESTS in view.tasks:
+        index.release(view, EARLIER_OWNERS_REQUESTS, EARLIER_OWNERS_REQUESTS)
+    reported = max(0, requests - _count_own_requests(owner, view))
+    monitor.earlier_owners_requests = (
+        reported
+        if monitor.earlier_owners_requests < 0
+        else min(reported, monitor.earlier_owners_requests)
     )
-    if monitor.leftover_requests:
-        need = _largest_request(owner, monitor.host).times(monitor.leftover_requests)
+    if monitor.earlier_owners_requests:
+        need = _largest_request(owner, monitor.host).times(
+            monitor.earlier_owners_requests
+        )
         free = Resources(view.cpu, view.memory, view.accelerators, view.slots)
-        index.allocate(view, LEFTOVER_REQUESTS, need.clip(free), LEFTOVER_REQUESTS)
+        index.allocate(
+            view, EARLIER_OWNERS_REQUESTS, need.clip(free), EARLIER_OWNERS_REQUESTS
+        )
 
 
 def _count_own_requests(owner: MonitoredOwner, view: HostView) -> int:
--- a/siskinroad/jobs.py
+++ b/siskinroad/jobs.py
@@ -45,9 +45,9 @@
 # Seconds for which a submission waits for an owner to become known. A shorter time
 # refuses jobs during a takeover.
 NO_OWNER_TIMEOUT = 6.0
-# Seconds between two attempts within that time.
+# Seconds between two attempts within ``NO_OWNER_TIMEOUT``.
 NO_OWNER_RETRY_INTERVAL = 0.1
-# Refusals after which a submission is tried again within that time.
+# Refusals after which a submission is tried again within ``NO_OWNER_TIMEOUT``.
 RETRIED_REASONS = (Reason.NO_OWNER, Reason.HOME_DATA_CENTRE_UNREACHABLE)
 
 
@@ -130,7 +130,7 @@
         _check_submission(workload, count, payload)
         suffix = self._make_name_suffix(workload, key)
         loop = asyncio.get_running_loop()
-        until = loop.time() + NO_OWNER_TIMEOUT
+        deadline = loop.time() + NO_OWNER_TIMEOUT
         while True:
             try:
                 load = self._choose_shard(cell, workload, key)
@@ -139,7 +139,7 @@
                     load.owner, "submit", job, load.shard, workload.name, count, payload
                 )
             except Refusal as exc:
-                if exc.reason not in RETRIED_REASONS or loop.time() >= until:
+                if exc.reason not in RETRIED_REASONS or loop.time() >= deadline:
                     raise
             await asyncio.sleep(NO_OWNER_RETRY_INTERVAL)
 
@@ -169,10 +169,10 @@
     async def watch(self, job: str, wait: float) -> JobView:
         """Return a job's state once it has settled or ``wait`` seconds have passed."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + min(wait, MAX_WATCH_TIME)
+        deadline = loop.time() + min(wait, MAX_WATCH_TIME)
         while True:
             view = await self._call_owner(self._owner_of(job), "watch", job)
-            if view.settled or loop.time() >= until:
+            if view.settled or loop.time() >= deadline:
                 return view
             await asyncio.sleep(WATCH_POLL_INTERVAL)
 
@@ -181,7 +181,7 @@
         return await self._call_owner(self._owner_of(job), "cancel", job)
 
     async def explain(self, key: str) -> str:
-        """Return a sentence that says why a task waits, or where it runs or ran."""
+        """Explain in one sentence why a task waits, where it runs or how it ended."""
         job = key.rpartition("/")[0] or key
         owner = self._owner_of(job)
         if owner == self.name:
@@ -246,9 +246,9 @@
         loop = asyncio.get_running_loop()
         pending = _PendingCall(loop.create_future())
         self._pending[msg.id] = pending
-        until = loop.time() + REPLY_TIMEOUT
+        deadline = loop.time() + REPLY_TIMEOUT
         try:
-            while loop.time() < until:
+            while loop.time() < deadline:
                 self.send(owner, msg)
                 await asyncio.wait({pending.fut}, timeout=RESEND_INTERVAL)
                 if pending.fut.done():
@@ -298,7 +298,7 @@
             case "cancel":
                 return await self._cancel(msg.job)
             case "watch":
-                return self._view(self._get_state(msg.job))
+                return self._make_view(self._get_state(msg.job))
         raise Refusal(
             Reason.BAD_REQUEST, step="job", message=f"unknown job operation {msg.op}"
         )
@@ -311,9 +311,9 @@
         return state
 
     async def _accept(self, msg: JobRequest) -> JobView:
-        known = self.ledger.jobs.get(msg.job)
-        if known is not None:
-            return self._view(known)
+        existing = self.ledger.jobs.get(msg.job)
+        if existing is not None:
+            return self._make_view(existing)
         workload = self._admit(msg)
         record = JobAccepted(
             msg.job,
@@ -325,7 +325,7 @@
             self.shards.ownership.epoch(msg.shard),
         )
         await self._record(record)
-        return self._view(self._get_state(msg.job))
+        return self._make_view(self._get_state(msg.job))
 
     def _admit(self, msg: JobRequest) -> Workload:
         owner = self.shards.owners.get(msg.shard)
@@ -334,9 +334,9 @@
         workload = owner.scheduler.shard.cell.workloads.get(msg.workload)
         if workload is None or workload.kind == "service":
             raise Refusal(Reason.UNKNOWN_SERVICE, step="submit", message=msg.workload)
-        why = owner.scheduler.never_runnable_reason(workload)
-        if why:
-            raise Refusal(Reason.CAN_NEVER_RUN, step="submit", message=why)
+        reason = owner.scheduler.never_runnable_reason(workload)
+        if reason:
+            raise Refusal(Reason.CAN_NEVER_RUN, step="submit", message=reason)
         waiting = owner.scheduler.shard.waiting.lane(workload).live
         if waiting + msg.count > workload.queue_limit:
             raise Refusal(Reason.QUEUE_FULL, step="submit", retry_after=5.0)
@@ -357,20 +357,20 @@
                 outcome=Outcome.UNKNOWN,
                 retry_after=5.0,
                 message="the log did not confirm the record in time; "
-                "submit again with the same key to find out",
+                "repeat the call, a submission with the same key, to find out",
             ) from None
 
     async def _cancel(self, job: str) -> JobView:
         state = self._get_state(job)
         if not state.settled and not state.cancelled:
             await self._record(JobCancelled(job))
-        return self._view(self._get_state(job))
+        return self._make_view(self._get_state(job))
 
-    def _view(self, state: JobState) -> JobView:
+    def _make_view(self, state: JobState) -> JobView:
         accepted = state.accepted
         owner = self.shards.owners.get(accepted.shard)
-        known = owner.tasks.outcomes(accepted.job) if owner is not None else {}
-        outcomes = list({**known, **state.ended}.values())
+        owner_outcomes = owner.tasks.outcomes(accepted.job) if owner is not None else {}
+        outcomes = list({**owner_outcomes, **state.ended}.values())
         done = outcomes.count("done")
         cancelled = outcomes.count("cancelled")
         running = self._count_running(accepted)
--- a/siskinroad/owner.py
+++ b/siskinroad/owner.py
@@ -56,7 +56,7 @@
         self.requests = RequestTable(self)
         self.tasks = TaskTable(self)
         self._in_flight: set[asyncio.Task[None]] = set()
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._background_tasks: set[asyncio.Task[None]] = set()
         self.is_closed = False
         for host in hosts:
             self._add_host(host)
@@ -81,7 +81,7 @@
         for monitor in self.monitors.values():
             self.spawn(monitor_host(self, monitor))
         self.spawn(self._tick())
-        self.tasks.queue_missing()
+        self.tasks.queue_unreported()
         self.resume()
 
     async def _fetch_first_inventory(self, monitor: HostMonitor) -> None:
@@ -110,13 +110,13 @@
     def close(self) -> None:
         """Stop scheduling; work already sent still gets its reply.
 
-        Queued requests are refused as not run, so that the daemons that
-        received them from callers send them to the next owner.
+        Queued requests are refused, so that the daemons that received them from
+        callers can send them to the next owner.
         """
         self.is_closed = True
         self.scheduler.is_paused = True
         self.requests.refuse_unsent()
-        for task in self._tasks - self._in_flight:
+        for task in self._background_tasks - self._in_flight:
             task.cancel()
 
     async def wait_idle(self) -> None:
@@ -130,24 +130,24 @@
         Requests and task starts in flight are not cancelled.
         """
         task = asyncio.get_running_loop().create_task(coro)
-        self._tasks.add(task)
+        self._background_tasks.add(task)
         task.add_done_callback(self._on_task_done)
         return task
 
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
-        self._tasks.discard(task)
+        self._background_tasks.discard(task)
         self._in_flight.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.error(
-                "owner: background task of shard %s failed",
+                "owner: background task of shard %s failed; not restarted",
                 self.shard,
                 exc_info=task.exception(),
             )
 
     async def _tick(self) -> None:
         while True:
-            pause = self.scheduler.next_tick_time() - self.now()
-            await asyncio.sleep(min(max(pause, MIN_TICK_INTERVAL), TICK_INTERVAL))
+            delay = self.scheduler.next_tick_time() - self.now()
+            await asyncio.sleep(min(max(delay, MIN_TICK_INTERVAL), TICK_INTERVAL))
             self.run(self.scheduler.tick(self.now()))
 
     def configure(self, cell: Cell, hosts: list[Host]) -> None:
@@ -175,7 +175,8 @@
             self.is_stale = True
             self.suspend()
             log.warning(
-                "owner: a host rejected epoch %d of shard %s as stale; placing no more",
+                "owner: a host rejected epoch %d of shard %s as stale; "
+                "placing no more work on it",
                 self.epoch,
                 self.shard,
             )
@@ -240,7 +241,7 @@
         return sum(state.index.free_slots for state in pools)
 
     def expected_waits(self) -> dict[str, float]:
-        """Return the expected wait in seconds by workload, where above 0.01 s."""
+        """Return the waits expected by workload, in seconds, that exceed 0.01 s."""
         now = self.now()
         lanes = self.scheduler.shard.waiting.lanes
         expected_waits = {name: lane.expected_wait(now) for name, lane in lanes.items()}
--- a/siskinroad/request_handler.py
+++ b/siskinroad/request_handler.py
@@ -20,7 +20,7 @@
 # Seconds for which a request waits for an owner to become known. A shorter time
 # refuses requests during a takeover.
 NO_OWNER_TIMEOUT = 6.0
-# Seconds between two looks for an owner within that time.
+# Seconds between two attempts to find an owner within ``NO_OWNER_TIMEOUT``.
 NO_OWNER_RETRY_INTERVAL = 0.05
 # Refusals after which a request is tried at the owner of another shard.
 RETRIED_ELSEWHERE = {
@@ -63,6 +63,8 @@
         Returns the loads of all known shards, including this daemon's own.
     run_locally : callable
         Runs a request on a shard that this daemon owns.
+    incarnation_of : callable
+        Returns the latest known incarnation of a daemon.
     """
 
     def __init__(
@@ -72,7 +74,7 @@
         loads: Callable[[], list[ShardLoad]],
         run_locally: Callable[[str, Request], Awaitable[UpstreamResponse]],
         forwarder: Forwarder,
-        incarnation: Callable[[str], int],
+        incarnation_of: Callable[[str], int],
         rng: random.Random,
     ) -> None:
         self.name = name
@@ -80,7 +82,7 @@
         self.loads = loads
         self.run_locally = run_locally
         self.forwarder = forwarder
-        self.incarnation = incarnation
+        self.incarnation_of = incarnation_of
         self.rng = rng
         self.in_progress = 0
 
@@ -100,15 +102,15 @@
 
     async def _serve(self, req: Request, cell: Cell) -> UpstreamResponse:
         loop = asyncio.get_running_loop()
-        give_up_at = min(loop.time() + NO_OWNER_TIMEOUT, req.deadline)
+        no_owner_deadline = min(loop.time() + NO_OWNER_TIMEOUT, req.deadline)
         may_have_run = False
-        tried: set[str] = set()
+        tried_shards: set[str] = set()
         refusal = self._no_owner_refusal(req)
         while True:
-            load = self._choose(req, cell, tried, loop.time())
+            load = self._choose_shard(req, cell, tried_shards, loop.time())
             if load is None:
-                tried.clear()
-                if loop.time() + NO_OWNER_RETRY_INTERVAL > give_up_at:
+                tried_shards.clear()
+                if loop.time() + NO_OWNER_RETRY_INTERVAL > no_owner_deadline:
                     break
                 await asyncio.sleep(NO_OWNER_RETRY_INTERVAL)
                 continue
@@ -122,19 +124,21 @@
                 break
             if loop.time() >= req.deadline:
                 break
-            tried.add(load.shard)
+            tried_shards.add(load.shard)
         if may_have_run:
             refusal.outcome = Outcome.UNKNOWN
         raise refusal
 
-    def _choose(
-        self, req: Request, cell: Cell, tried: set[str], now: float
+    def _choose_shard(
+        self, req: Request, cell: Cell, tried_shards: set[str], now: float
     ) -> ShardLoad | None:
         loads = self.loads()
         if req.key:
             home = home_data_centre_of(cell, req.workload, req.key, self.place)
             loads = [load for load in loads if load.place.data_centre == home]
-        return choose_shard(req.workload, loads, self.place, tried, now, self.rng)
+        return choose_shard(
+            req.workload, loads, self.place, tried_shards, now, self.rng
+        )
 
     def _no_owner_refusal(self, req: Request) -> Refusal:
         reason = Reason.HOME_DATA_CENTRE_UNREACHABLE if req.key else Reason.NO_OWNER
@@ -149,7 +153,7 @@
         msg = Forward(
             self.name,
             self.forwarder.new_id(),
-            self.incarnation(load.owner),
+            self.incarnation_of(load.owner),
             load.shard,
             req.workload.name,
             max(req.deadline - now, 0.0),
--- a/siskinroad/requests.py
+++ b/siskinroad/requests.py
@@ -25,19 +25,23 @@
 SERVER_ERROR_STATUS = 500
 # Seconds after which a request refused at a handover may be sent again.
 NO_OWNER_RETRY_AFTER = 0.1
-# Refusals for which the upstream's own last answer is returned, if there is one.
+# Reasons of refusals that are replaced by the upstream's last answer, if any.
 UPSTREAM_FAILURES = (Reason.UPSTREAM_FAILED, Reason.RETRIES_EXHAUSTED)
 
 
 @dataclass(slots=True)
 class _Request:
-    """One request; ``may_have_run`` is set once any attempt may have run."""
+    """One request.
+
+    ``is_sent`` is set while an attempt is in flight, ``may_have_run`` once any
+    attempt may have run.
+    """
 
     fut: asyncio.Future[UpstreamResponse]
     path: str
     body: bytes
     answer: UpstreamResponse | None = None
-    sent: bool = False
+    is_sent: bool = False
     may_have_run: bool = False
 
 
@@ -46,13 +50,13 @@
 
     def __init__(self, owner: MonitoredOwner) -> None:
         self.owner = owner
-        self._waiting: dict[str, _Request] = {}
+        self._requests: dict[str, _Request] = {}
 
     def __len__(self) -> int:
-        return len(self._waiting)
+        return len(self._requests)
 
     def __contains__(self, key: str) -> bool:
-        return key in self._waiting
+        return key in self._requests
 
     def submit(
         self, key: str, workload: Workload, path: str, body: bytes, deadline: float
@@ -75,7 +79,7 @@
         if workload.start_within > 0:
             deadline = min(deadline, now + workload.start_within)
         item = Item(key, workload, now, deadline)
-        self._waiting[key] = _Request(fut, path, body)
+        self._requests[key] = _Request(fut, path, body)
         owner.run(owner.scheduler.submit(item, now))
         return fut
 
@@ -84,18 +88,21 @@
         self.owner.run(self.owner.scheduler.cancel(key, self.owner.now()))
 
     def refuse_unsent(self) -> None:
-        """Refuse all unsent requests as not run, for the next owner to run."""
-        for key, req in list(self._waiting.items()):
-            if not req.sent:
+        """Refuse all requests without an attempt in flight, for the next owner to run.
+
+        Those of which an earlier attempt may have run are refused as unknown.
+        """
+        for key, req in list(self._requests.items()):
+            if not req.is_sent:
                 self.answer(key, _no_owner_refusal())
 
     async def send(self, effect: StartTask) -> None:
         """Send a request to its host and report the result to the scheduler."""
         owner = self.owner
         item = effect.item
-        req = self._waiting[item.key]
+        req = self._requests[item.key]
         end = await self._send_once(effect, req)
-        req.sent = False
+        req.is_sent = False
         req.may_have_run |= end in (End.UNKNOWN, End.FAILED)
         if end is not End.DONE:
             owner.ports.count_event("retry", end.value)
@@ -106,13 +113,13 @@
     async def _send_once(self, effect: StartTask, req: _Request) -> End:
         owner = self.owner
         host = owner.monitors[effect.hosts[0]].host
-        limit = effect.item.workload.timeout
+        timeout_s = effect.item.workload.timeout
         try:
             if not owner.ports.may_place():
                 return End.NOT_SENT
-            req.sent = True
+            req.is_sent = True
             req.answer = await owner.ports.upstreams.request(
-                host, effect.attempt, owner.epoch, req.path, req.body, limit
+                host, effect.attempt, owner.epoch, req.path, req.body, timeout_s
             )
         except Refusal:
             return End.REJECTED
@@ -130,13 +137,13 @@
 
         The upstream's answer takes precedence if the refusal says that it failed.
         """
-        answer = self._waiting[key].answer
-        failed = refusal.reason in UPSTREAM_FAILURES
-        self.answer(key, answer if failed and answer is not None else refusal)
+        answer = self._requests[key].answer
+        has_failed = refusal.reason in UPSTREAM_FAILURES
+        self.answer(key, answer if has_failed and answer is not None else refusal)
 
     def answer_finished(self, key: str) -> None:
         """Answer a request that has run or was cancelled while it ran."""
-        answer = self._waiting[key].answer
+        answer = self._requests[key].answer
         if answer is None:
             refusal = Refusal(Reason.CANCELLED, step="owner", outcome=Outcome.UNKNOWN)
             self.answer(key, refusal)
@@ -148,7 +155,7 @@
 
         A refusal says that the outcome is unknown if any attempt may have run.
         """
-        req = self._waiting.pop(key)
+        req = self._requests.pop(key)
         if req.fut.done():
             return
         if isinstance(result, Refusal):
--- a/siskinroad/shards.py
+++ b/siskinroad/shards.py
@@ -44,21 +44,22 @@
 # Seconds after which the append of a claim record fails; the record may be stored
 # nevertheless.
 CLAIM_APPEND_TIMEOUT = 2.0
-# For records that must be stored however long the log is unavailable.
+# Time-out, in seconds, of records that must be stored however long the log is
+# unavailable.
 NO_TIMEOUT = float("inf")
 
 log = logging.getLogger("siskinroad.shards")
 
 
 class OwnedShards:
-    """Owners of the shards, kept in line with the decisions of ``Ownership``.
+    """Shard owners of this daemon, which follow the decisions of ``Ownership``.
 
     Parameters
     ----------
     appender : Appender
         Appender of the data centre's log stream.
     guard : IdempotencyGuard
-        Idempotency guard that runs requests with a key.
+        Runs requests that have an idempotency key.
     """
 
     def __init__(
@@ -85,7 +86,7 @@
         self.retiring: set[ShardOwner] = set()
         self.host_list: dict[str, HostState] = {}
         self._hosts: dict[str, list[Host]] = {}
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._background_tasks: set[asyncio.Task[None]] = set()
         self._sequence = 0
 
     def _now(self) -> float:
@@ -93,13 +94,16 @@
 
     def _spawn(self, coro: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(coro)
-        self._tasks.add(task)
+        self._background_tasks.add(task)
         task.add_done_callback(self._on_task_done)
 
     def _on_task_done(self, task: asyncio.Task[None]) -> None:
-        self._tasks.discard(task)
+        self._background_tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("shards: background task failed", exc_info=task.exception())
+            log.error(
+                "shards: background task failed; not restarted",
+                exc_info=task.exception(),
+            )
 
     # Configuration, host list and records
 
@@ -138,7 +142,7 @@
                     owner.host_event(name, "rejoin")
 
     def apply_records(self, records: list[Record]) -> None:
-        """Pass job records that the ledger has just applied to the owners."""
+        """Pass to the owners the job records that the ledger has just applied."""
         for record in records:
             match record:
                 case JobAccepted() if record.shard in self.owners:
@@ -150,7 +154,7 @@
                         self.owners[shard].tasks.cancel(record.job)
 
     def apply_snapshot(self) -> None:
-        """Pass the jobs that the ledger took from a snapshot to the owners."""
+        """Pass to the owners the jobs that the ledger has read from a snapshot."""
         for state in list(self.ledger.jobs.values()):
             owner = self.owners.get(state.accepted.shard)
             if owner is None:
@@ -173,21 +177,21 @@
             case TakeOverShard():
                 self._spawn(self._take_over(effect))
             case SuspendShard(shard=shard):
-                self._count("suspend")
+                self._count_claim_event("suspend")
                 if shard in self.owners:
-                    fenced = self.ownership.shards.get(shard, False)
-                    self.owners[shard].suspend(requests=fenced)
+                    has_fencing = self.ownership.shards.get(shard, False)
+                    self.owners[shard].suspend(requests=has_fencing)
             case ResumeShard(shard=shard):
-                self._count("resume")
+                self._count_claim_event("resume")
                 if shard in self.owners and not self.owners[shard].is_stale:
                     self.owners[shard].resume()
             case ReleaseShard():
                 self._spawn(self._release(effect))
             case DropShard(shard=shard):
-                self._count("lose")
+                self._count_claim_event("lose")
                 self._drop(shard)
 
-    def _count(self, event: str) -> None:
+    def _count_claim_event(self, event: str) -> None:
         self.metrics.claims.labels(event).inc()
 
     async def _take_over(self, effect: TakeOverShard) -> None:
@@ -200,8 +204,10 @@
         owner = ShardOwner(shard, effect.epoch, self.cell, hosts, ports)
         self.owners[shard] = owner
         self._apply_host_list(owner)
-        homed = self.ledger.jobs.values()
-        owner.tasks.restore([state for state in homed if state.accepted.shard == shard])
+        job_states = self.ledger.jobs.values()
+        owner.tasks.restore(
+            [state for state in job_states if state.accepted.shard == shard]
+        )
         await owner.take_over()
         if self.owners.get(shard) is not owner:
             return
@@ -209,7 +215,7 @@
             self._drop(shard)
             return
         owner.resume()
-        self._count("take")
+        self._count_claim_event("take")
         log.info("shards: took over shard %s at epoch %d", shard, effect.epoch)
 
     def _make_ports(self, shard: str) -> OwnerPorts:
@@ -244,7 +250,7 @@
         if owner is not None:
             await owner.release()
         self._drop(effect.shard)
-        self._count("release")
+        self._count_claim_event("release")
         self.appender.append(ClaimReleased(effect.shard, effect.epoch), NO_TIMEOUT)
         log.info("shards: released shard %s at epoch %d", effect.shard, effect.epoch)
 
@@ -301,7 +307,7 @@
     # Updates for peers and routing
 
     def shard_updates(self) -> list[ShardUpdate]:
-        """Return an update for peers on each owned shard that accepts work."""
+        """Return an update for peers about each owned shard that accepts work."""
         return [
             ShardUpdate(shard, owner.epoch, owner.free_slots(), owner.expected_waits())
             for shard, owner in self.owners.items()
@@ -331,8 +337,8 @@
         return sum(len(owner.requests) for owner in owners)
 
     def close(self) -> None:
-        """Close every owner and cancel all background tasks without a release."""
+        """Close every owner and cancel all background tasks; release no claim."""
         for shard in list(self.owners):
             self._drop(shard)
-        for task in list(self._tasks):
+        for task in list(self._background_tasks):
             task.cancel()
--- a/siskinroad/tasks.py
+++ b/siskinroad/tasks.py
@@ -40,7 +40,7 @@
         Its stored record.
     ended : dict of int to str
         Outcome by task index, including those that are not stored yet.
-    cancelled : bool
+    is_cancelled : bool
         Whether the job is cancelled, so that none of its tasks may start.
     unrecorded_count : int
         Number of outcomes in ``ended`` that are not stored yet.
@@ -48,7 +48,7 @@
 
     accepted: JobAccepted
     ended: dict[int, str] = field(default_factory=dict)
-    cancelled: bool = False
+    is_cancelled: bool = False
     unrecorded_count: int = 0
 
 
@@ -91,7 +91,7 @@
         item = self._make_item(job, index)
         if item is None:
             self.record_end(key, "refused")
-        elif job.cancelled:
+        elif job.is_cancelled:
             self.record_end(key, "cancelled")
         else:
             owner.run(owner.scheduler.requeue(item, owner.now()))
@@ -104,11 +104,11 @@
         key = f"{job.accepted.job}/{index}"
         return Item(key, workload, self.owner.now(), payload=job.accepted.payload)
 
-    def queue_missing(self) -> None:
-        """Queue the tasks that no host runs.
+    def queue_unreported(self) -> None:
+        """Queue the tasks that no host has reported.
 
-        This waits until each host has answered or its task leases have expired,
-        since a silent host may still run a task.
+        While a host is silent this is put off until the host answers or its task
+        leases have expired, since it may still run a task.
         """
         owner = self.owner
         silent = [
@@ -117,31 +117,36 @@
         if silent:
             wait = TASK_LEASE_S + SILENT_HOST_MARGIN
             log.info(
-                "tasks: shard %s waits up to %.0f s for %d silent hosts",
+                "tasks: shard %s waits up to %.0f s for %d silent hosts to answer "
+                "before it starts tasks that no host reports",
                 owner.shard,
                 wait,
                 len(silent),
             )
-            owner.spawn(self._queue_after_wait(silent, owner.now() + wait))
+            owner.spawn(self._queue_after_silence(silent, owner.now() + wait))
             return
         for run in list(owner.scheduler.shard.running.values()):
             owner.run(owner.scheduler.attempts.fail_partial(run))
         for job in list(self.jobs.values()):
             self._queue_job(job)
 
-    async def _queue_after_wait(self, silent: list[HostMonitor], until: float) -> None:
-        while self.owner.now() < until and any(not w.is_accounted_for for w in silent):
+    async def _queue_after_silence(
+        self, silent: list[HostMonitor], deadline: float
+    ) -> None:
+        while self.owner.now() < deadline and any(
+            not host_monitor.is_accounted_for for host_monitor in silent
+        ):
             await asyncio.sleep(TICK_INTERVAL)
         for monitor in silent:
             monitor.has_answered = True
-        self.queue_missing()
+        self.queue_unreported()
 
     def cancel(self, name: str) -> None:
         """Cancel every task of a job; none is started after this."""
         job = self.jobs.get(name)
         if job is None:
             return
-        job.cancelled = True
+        job.is_cancelled = True
         scheduler = self.owner.scheduler
         for index in range(job.accepted.count):
             self.owner.run(scheduler.cancel(f"{name}/{index}", self.owner.now()))
@@ -154,7 +159,7 @@
         """
         job_name, index = job_of(name.key)
         job = self.jobs.get(job_name)
-        if job is None or index in job.ended or job.cancelled:
+        if job is None or index in job.ended or job.is_cancelled:
             return False
         scheduler = self.owner.scheduler
         item = scheduler.shard.items.get(name.key)
@@ -180,17 +185,17 @@
             await owner.ports.upstreams.start(monitor.host, owner.epoch, start)
             owner.scheduler.record_attempt_start(key)
         except NotSentError:
-            self._not_started(key, member)
+            self._report_not_started(key, member)
         except StaleEpochError:
             owner.mark_stale()
-            self._not_started(key, member)
+            self._report_not_started(key, member)
         except OutcomeUnknownError:
             owner.ports.count_event("retry", "start_unknown")
         finally:
             monitor.starting.discard(start.attempt)
             monitor.last_start_ended_at = owner.now()
 
-    def _not_started(self, key: str, member: int) -> None:
+    def _report_not_started(self, key: str, member: int) -> None:
         owner = self.owner
         owner.ports.count_event("retry", End.NOT_SENT.value)
         owner.run(
@@ -198,7 +203,7 @@
         )
 
     def record_finished(self, key: str, end: End) -> None:
-        """Store the end of a task or gang."""
+        """Store the outcome of a task or gang whose last attempt has ended."""
         self.record_end(key, OUTCOME_BY_END.get(end, "failed"))
 
     def record_end(self, key: str, outcome: str) -> None:
@@ -246,14 +251,14 @@
 
 def _make_task_start(effect: StartTask, member: int) -> TaskStart:
     item = effect.item
-    need = item.workload.demand
+    resources = item.workload.demand
     return TaskStart(
         task_name(item.key, member),
         attempt_name(effect.attempt, member),
         item.workload.name,
-        need.cpu_milli,
-        need.memory_mib,
-        need.accelerators,
+        resources.cpu_milli,
+        resources.memory_mib,
+        resources.accelerators,
         item.payload,
         TASK_LEASE_S,
     )
--- a/tests/test_forwarding.py
+++ b/tests/test_forwarding.py
@@ -1,4 +1,4 @@
-"""A forwarded request runs at most once despite loss, resends and restarts."""
+"""Tests that a forwarded request runs at most once, whatever is lost or restarted."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 from bench.clock import run_on_paused_clock
 from siskinroad.errors import Outcome, Reason, Refusal
-from siskinroad.forwarding import MAX_KEPT_BYTES, Forwarder, Receiver
+from siskinroad.forwarding import MAX_CACHED_BYTES, Forwarder, Receiver
 from siskinroad.messages import Forward, ForwardQuery, Reply
 from siskinroad.upstreams import UpstreamResponse
 
@@ -42,18 +42,20 @@
         else:
             self.forwarder.receive_ack(msg)
 
-    def forward_request(self, incarnation=7, body=b"x", left=10.0):
-        key = self.forwarder.new_id()
-        msg = Forward("a", key, incarnation, "s", "quote", left, "", "/", body)
+    def forward_request(self, incarnation=7, body=b"x", timeout_s=10.0):
+        request_id = self.forwarder.new_id()
+        msg = Forward(
+            "a", request_id, incarnation, "s", "quote", timeout_s, "", "/", body
+        )
         return self.forwarder.forward("b", msg)
 
 
 def lose_first(kind, count):
-    left = [count]
+    remaining = [count]
 
     def is_lost(msg):
-        if type(msg).__name__ == kind and left[0]:
-            left[0] -= 1
+        if type(msg).__name__ == kind and remaining[0]:
+            remaining[0] -= 1
             return True
         return False
 
@@ -94,14 +96,14 @@
     run_on_paused_clock(main())
 
 
-def test_kept_replies_stay_within_max_kept_bytes():
-    # Guards against unbounded memory for replies that are kept for resends.
+def test_cached_replies_stay_within_max_cached_bytes():
+    # Guards against unbounded memory for replies that are cached for repeated polls.
     async def main():
         pair = ForwardPair(run_seconds=0.0)
         for _ in range(40):
             await pair.forward_request(body=b"x" * 65536)
-        kept = pair.receiver._replies.values()
-        assert sum(len(reply.body) for reply in kept) <= MAX_KEPT_BYTES
+        cached = pair.receiver._cached_replies.values()
+        assert sum(len(reply.body) for reply in cached) <= MAX_CACHED_BYTES
         assert pair.runs == 40
 
     run_on_paused_clock(main())
