--- a/siskinroad/appender.py
+++ b/siskinroad/appender.py
@@ -88,7 +88,11 @@
         fut: asyncio.Future[int] = loop.create_future()
         fut.add_done_callback(_mark_retrieved)
         if len(self._pending) >= MAX_PENDING:
-            fut.set_exception(PlatformError("too many pending records", step="append"))
+            fut.set_exception(
+                PlatformError(
+                    "record not appended: too many records pending", step="append"
+                )
+            )
             return fut
         self._pending.append(_PendingRecord(record, fut, loop.time() + timeout))
         self._wake.set()
--- a/siskinroad/callers.py
+++ b/siskinroad/callers.py
@@ -46,7 +46,9 @@
             self.daemon.metrics.refusals.labels(exc.reason.value, exc.step).inc()
             return refusal_response(exc)
         except Exception as exc:
-            log.exception("callers: unexpected error while serving a request")
+            log.exception(
+                "callers: unexpected error in a request; answering outcome unknown"
+            )
             refusal = Refusal(
                 Reason.INTERNAL,
                 step="callers",
@@ -87,45 +89,45 @@
             text = f"body is larger than {workload.max_body} bytes"
             raise Refusal(Reason.BAD_REQUEST, step="callers", message=text)
         request = self._build_request(req, workload)
-        if not self.daemon.bytes.reserve(len(req.body), workload.urgency):
+        if not self.daemon.waiting_bytes.reserve(len(req.body), workload.urgency):
             raise Refusal(Reason.SHED, step="callers", retry_after=1.0)
         try:
             answer = await self.daemon.request_handler.serve(
                 request, self.daemon.cell()
             )
         finally:
-            self.daemon.bytes.release(len(req.body))
+            self.daemon.waiting_bytes.release(len(req.body))
         self.daemon.metrics.answers.labels(name).inc()
         return HttpResponse(answer.status, answer.body, answer.content_type)
 
     def _build_request(self, req: HttpRequest, workload: Workload) -> Request:
-        key = _idempotency_key(req)
+        key = _parse_idempotency_key(req)
         if workload.key_required and not key:
             text = f"{workload.name} needs the header {KEY_HEADER}"
             raise Refusal(Reason.KEY_REQUIRED, step="callers", message=text)
-        start = workload.start_within or workload.timeout
-        limit = start + workload.timeout
+        start_timeout_s = workload.start_within or workload.timeout
+        timeout_s = start_timeout_s + workload.timeout
         if TIMEOUT_HEADER in req.headers:
-            limit = min(
-                limit, _parse_number(req.headers[TIMEOUT_HEADER], TIMEOUT_HEADER)
+            timeout_s = min(
+                timeout_s, _parse_number(req.headers[TIMEOUT_HEADER], TIMEOUT_HEADER)
             )
         path = req.path.removeprefix("/v1/services")
         now = asyncio.get_running_loop().time()
-        return Request(workload, path, req.body, key, now + limit)
+        return Request(workload, path, req.body, key, now + timeout_s)
 
     async def _submit_job(self, req: HttpRequest, name: str) -> HttpResponse:
-        if not self.daemon.ready:
+        if not self.daemon.is_ready:
             self.daemon.cell()
             raise Refusal(Reason.DRAINING, step="callers", retry_after=1.0)
         workload = self._find_workload(name)
         count = int(_parse_number(req.query.get("count", "1"), "count"))
         view = await self.daemon.jobs.submit(
-            self.daemon.cell(), workload, count, req.body, _idempotency_key(req)
+            self.daemon.cell(), workload, count, req.body, _parse_idempotency_key(req)
         )
         return json_response(202, view)
 
 
-def _idempotency_key(req: HttpRequest) -> str:
+def _parse_idempotency_key(req: HttpRequest) -> str:
     key = req.headers.get(KEY_HEADER, "")
     if len(key) > MAX_KEY_CHARS or not key.isprintable():
         text = f"{KEY_HEADER} must be at most {MAX_KEY_CHARS} printable characters"
--- a/siskinroad/daemon_context.py
+++ b/siskinroad/daemon_context.py
@@ -1,4 +1,4 @@
-"""Context that a daemon gives its parts."""
+"""Interface of a daemon to its components."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     """Sender of snapshot requests to peers."""
 
     def request_snapshot(self) -> None:
-        """Ask a peer to write a snapshot of the ledger."""
+        """Request a snapshot of the ledger from the data centre's other daemons."""
 
 
 class DaemonContext(Protocol):
-    """State of a daemon for its parts; ``state`` is one of the ``daemon`` chart."""
+    """Daemon as its components use it; ``state`` is a state of the ``daemon`` chart."""
 
     cfg: Settings
     incarnation: int
--- a/siskinroad/entry.py
+++ b/siskinroad/entry.py
@@ -60,12 +60,13 @@
 # and releases.
 OWNERSHIP_INTERVAL = 0.2
 # Seconds to wait until this daemon has read an appended record back; also for pending
-# releases at the end of a drain. A smaller value reports confirmed appends as failed.
+# releases at the end of a drain. A smaller value reports confirmed appends as not
+# confirmed.
 APPLY_TIMEOUT = 3.0
 # Seconds between two checks whether a drain has finished.
 DRAIN_POLL_INTERVAL = 0.05
-# Seconds for which a drained daemon still refuses work of peers that do not know of the
-# drain. Without it they wait for a daemon that has gone.
+# Seconds for which a drained daemon still refuses work from peers that do not know of
+# the drain. Without it they wait for a daemon that has exited.
 LINGER_TIME = 1.2
 
 log = logging.getLogger("siskinroad.entry")
@@ -103,7 +104,7 @@
         self.rng = rng
         self.place = Place(cfg.data_centre, cfg.region)
         self.metrics = Metrics()
-        self.bytes = ByteLimit(cfg.max_waiting_bytes)
+        self.waiting_bytes = ByteLimit(cfg.max_waiting_bytes)
         self.state = load_chart("daemon").initial
         self._build_coordination()
         self._build_request_path()
@@ -153,7 +154,7 @@
         send = self.peers.send
         append = self.appender.append
         self.guard = IdempotencyGuard(
-            cfg.name, self.ledger, append, self._ledger_applied
+            cfg.name, self.ledger, append, self._wait_ledger_applied
         )
         self.shards = OwnedShards(
             self.place,
@@ -184,7 +185,7 @@
             self.shards,
             self.ledger,
             append,
-            self._ledger_applied,
+            self._wait_ledger_applied,
             self.loads,
             send,
             lambda key: explain(self, key),
@@ -196,7 +197,7 @@
             self.members,
             self.load_table,
             self.cell_appender.append,
-            self._cell_applied,
+            self._wait_cell_applied,
         )
         self.periodic = PeriodicMessages(self)
 
@@ -224,7 +225,7 @@
             await asyncio.sleep(OWNERSHIP_INTERVAL)
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether callers may send requests to this daemon."""
         return self.state == "ready"
 
@@ -245,7 +246,7 @@
         log.info("entry: drain started")
         while loop.time() < deadline:
             holds_shards = any(
-                h.state != "idle" for h in self.ownership.shard_claims.values()
+                claim.state != "idle" for claim in self.ownership.shard_claims.values()
             )
             has_work = (
                 self.request_handler.in_progress
@@ -257,17 +258,21 @@
             await asyncio.sleep(DRAIN_POLL_INTERVAL)
         is_done = loop.time() < deadline
         if is_done:
-            await self._flush()
+            await self._wait_releases_stored()
             # Peers that do not know of the drain yet still send work here. It is
             # refused as not run, so that they send it to the next owner.
             await asyncio.sleep(LINGER_TIME)
         self.state = load_chart("daemon").next_state(
             self.state, "idle" if is_done else "timeout"
         )
-        log.info("entry: drain finished" if is_done else "entry: drain timed out")
+        log.info(
+            "entry: drain finished"
+            if is_done
+            else "entry: drain not finished within drain_s"
+        )
         return is_done
 
-    async def _flush(self) -> None:
+    async def _wait_releases_stored(self) -> None:
         """Wait until the releases are stored, at most ``APPLY_TIMEOUT`` seconds."""
         try:
             async with asyncio.timeout(APPLY_TIMEOUT):
@@ -290,8 +295,8 @@
             self.put_in_force()
         self._schedule_notify()
 
-    def _skip_cell(self, first: int) -> None:
-        self.configuration.next_offset = first
+    def _skip_cell(self, first_offset: int) -> None:
+        self.configuration.next_offset = first_offset
         self.periodic.request_revision()
 
     def _apply_ledger(self, offset: int, records: list[Record]) -> None:
@@ -319,10 +324,10 @@
         async with self._applied:
             self._applied.notify_all()
 
-    async def _ledger_applied(self, offset: int) -> None:
+    async def _wait_ledger_applied(self, offset: int) -> None:
         await self._wait_until(lambda: self.ledger.next_offset > offset)
 
-    async def _cell_applied(self, offset: int) -> None:
+    async def _wait_cell_applied(self, offset: int) -> None:
         await self._wait_until(lambda: self.configuration.next_offset > offset)
 
     async def _wait_until(self, predicate: Any) -> None:
@@ -408,7 +413,9 @@
             if self.configuration.apply_if_newer(msg.whole):
                 self.put_in_force()
         except ConfigError as exc:
-            log.error("entry: peer offered an invalid revision: %s", exc)
+            log.error(
+                "entry: revision offered by a peer is not valid, ignored: %s", exc
+            )
 
 
 async def _run_logged(coro: Coroutine[Any, Any, None]) -> None:
@@ -418,5 +425,5 @@
     except asyncio.CancelledError:
         raise
     except Exception:
-        log.exception("entry: background loop failed")
+        log.exception("entry: background loop failed; not restarted")
         raise
--- a/siskinroad/heartbeats.py
+++ b/siskinroad/heartbeats.py
@@ -28,10 +28,10 @@
 
 # Seconds between two reads of the platform's host list. A larger value delays the
 # reaction to hosts that come or go; a smaller one loads the platform.
-LIST_INTERVAL = 1.5
-# Heartbeats after which an unchanged list of admitted daemons is sent again. A larger
+HOST_LIST_INTERVAL = 1.5
+# Heartbeats after which an unchanged list of required peers is sent again. A larger
 # value leaves a peer that missed it without the list for longer.
-REQUIRED_PEERS_INTERVAL = 4
+HEARTBEATS_PER_PEER_LIST = 4
 # Seconds after which an unchanged digest is sent again. A smaller value costs traffic
 # between data centres; a larger one leaves them with old loads for longer.
 DIGEST_INTERVAL = 10.0
@@ -98,15 +98,15 @@
             daemon.peers.send(name, self._make_heartbeat(now, echo, required_peers))
 
     def _due_required_peers(self) -> list[str] | None:
-        """Return the admitted daemons if the next heartbeat must carry them."""
+        """Return the required peers if the next heartbeat must carry them."""
         required_peers = self.daemon.ownership.required_peers()
         self._heartbeats_sent += 1
-        due = (
-            self._heartbeats_sent % REQUIRED_PEERS_INTERVAL == 0
+        is_due = (
+            self._heartbeats_sent % HEARTBEATS_PER_PEER_LIST == 0
             or required_peers != self._last_required_peers
         )
         self._last_required_peers = required_peers
-        return required_peers if due else None
+        return required_peers if is_due else None
 
     def _make_heartbeat(
         self, now: float, echo: Echo | None, required_peers: list[str] | None
@@ -140,7 +140,7 @@
             self.request_revision(msg.name)
 
     def _forward_digests(self, name: str, now: float) -> None:
-        """Send the latest digest of each other data centre to a daemon just started.
+        """Send a newly started peer the latest digest of each other data centre.
 
         Only the live daemon with the lowest name sends them, so that they arrive once.
         """
@@ -159,7 +159,7 @@
         Parameters
         ----------
         name : str
-            The peer; empty to take the peers in turn.
+            The peer; if empty, each call requests it from the next peer in turn.
         """
         daemon = self.daemon
         now = asyncio.get_running_loop().time()
@@ -196,7 +196,7 @@
             if daemon.log_reader.is_reading(loop.time()):
                 await self._read_host_list()
                 self._send_host_list(loop.time())
-            await asyncio.sleep(LIST_INTERVAL)
+            await asyncio.sleep(HOST_LIST_INTERVAL)
 
     async def _read_host_list(self) -> None:
         daemon = self.daemon
@@ -240,16 +240,16 @@
         """
         loop = asyncio.get_running_loop()
         last: tuple[int, dict[str, tuple[str, int]]] = (0, {})
-        sent = float("-inf")
+        sent_at = float("-inf")
         while True:
             await asyncio.sleep(DIGEST_CHECK_INTERVAL)
             now = loop.time()
             if self.daemon.members.log_reader_name(now) != self.daemon.cfg.name:
                 continue
             msg = self._make_digest(now)
-            if (msg.revision, msg.owners) == last and now - sent < DIGEST_INTERVAL:
+            if (msg.revision, msg.owners) == last and now - sent_at < DIGEST_INTERVAL:
                 continue
-            last, sent = (msg.revision, msg.owners), now
+            last, sent_at = (msg.revision, msg.owners), now
             self._send_digest(msg)
 
     def _send_digest(self, msg: Digest) -> None:
--- a/siskinroad/host_monitor.py
+++ b/siskinroad/host_monitor.py
@@ -157,7 +157,7 @@
         self.leases_expired = False
         owner.host_event(self.host.name, "inventory")
 
-    def check_lease_expiry(
+    def end_tasks_if_leases_expired(
         self, owner: MonitoredOwner, lease_s: float, now: float
     ) -> None:
         """End the tasks of a silent host as lost once their leases have expired."""
@@ -200,7 +200,7 @@
         if monitor.is_silent:
             await asyncio.sleep(SILENT_RETRY_INTERVAL)
             await monitor.fetch_inventory(owner, wait=0.0, renew=False)
-            monitor.check_lease_expiry(owner, TASK_LEASE_S, loop.time())
+            monitor.end_tasks_if_leases_expired(owner, TASK_LEASE_S, loop.time())
             continue
         if await monitor.fetch_inventory(owner, wait=INVENTORY_WAIT, renew=True):
             doubled_pause = min(pause * 2, MAX_UNCHANGED_PAUSE)
--- a/siskinroad/http_client.py
+++ b/siskinroad/http_client.py
@@ -38,6 +38,8 @@
 
 @dataclass(slots=True)
 class _Connection:
+    """Connection to a peer, with the generation of its pool at the opening."""
+
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     http: h11.Connection
@@ -50,13 +52,15 @@
 
 @dataclass(slots=True)
 class _PeerPool:
+    """Connections to one peer; a time-out starts a new ``generation``."""
+
     idle: deque[_Connection] = field(default_factory=deque)
     generation: int = 0
     in_use: int = 0
 
 
 class HttpPool:
-    """HTTP client with a pool of kept connections to each peer.
+    """HTTP client with a pool of idle connections to each peer.
 
     After a time-out, no connection to the same peer that was opened before it is
     reused: a middlebox on the path may have lost the state of all of them, while new
@@ -64,7 +68,7 @@
 
     Parameters
     ----------
-    connections_per_peer : int
+    max_connections_per_peer : int
         Most connections in use to one peer; further requests are not sent.
 
     Attributes
@@ -77,8 +81,8 @@
         Bytes sent and received.
     """
 
-    def __init__(self, connections_per_peer: int = 64) -> None:
-        self.connections_per_peer = connections_per_peer
+    def __init__(self, max_connections_per_peer: int = 64) -> None:
+        self.max_connections_per_peer = max_connections_per_peer
         self._peers: dict[str, _PeerPool] = {}
         self.timeouts = 0
         self.opened = 0
@@ -120,8 +124,12 @@
         is_sent = False
         conn: _Connection | None = None
         peer = self._peers.setdefault(address, _PeerPool())
-        if peer.in_use >= self.connections_per_peer:
-            raise NotSentError("too many connections in use", step="http", peer=address)
+        if peer.in_use >= self.max_connections_per_peer:
+            raise NotSentError(
+                "request not sent: too many connections in use",
+                step="http",
+                peer=address,
+            )
         peer.in_use += 1
         try:
             async with asyncio.timeout(timeout):
@@ -134,7 +142,9 @@
             self._retire_connections(address, conn)
             if not is_sent:
                 raise NotSentError(
-                    "connection not opened in time", step="http", peer=address
+                    "request not sent: connection not opened in time",
+                    step="http",
+                    peer=address,
                 ) from None
             raise OutcomeUnknownError("no answer", step="http", peer=address) from None
         except (OSError, h11.ProtocolError, EOFError) as exc:
@@ -151,7 +161,7 @@
         return response
 
     def close(self) -> None:
-        """Close every kept connection."""
+        """Close every idle connection."""
         for peer in self._peers.values():
             while peer.idle:
                 peer.idle.pop().abort()
@@ -207,7 +217,7 @@
                 case h11.Data():
                     body += event.data
                     if len(body) > MAX_RESPONSE_BYTES:
-                        raise EOFError("response too large")
+                        raise EOFError("response body too large")
                 case h11.EndOfMessage():
                     break
                 case h11.ConnectionClosed():
--- a/siskinroad/httpd.py
+++ b/siskinroad/httpd.py
@@ -33,7 +33,7 @@
         Time for the header block to arrive, and again for the body, so that a slow
         sender cannot hold a connection.
     idle_timeout : float
-        Time until the first byte of a request; then the connection is closed.
+        Time for the first byte of a request to arrive before the connection is closed.
     write_timeout : float
         Time for a client to accept a response.
     connections : int
@@ -263,21 +263,21 @@
         self.address = ""
         self._server: asyncio.Server | None = None
         self._connections: dict[asyncio.Task[None], _Connection] = {}
-        self._draining = False
+        self._is_draining = False
 
     async def listen(self, address: str) -> str:
-        """Listen on ``address``, where port 0 takes a free one; return the address."""
+        """Listen on ``address`` (port 0: any free port); return the bound address."""
         ip, _, port = address.rpartition(":")
         self._server = await asyncio.start_server(
             self._accept, ip, int(port), backlog=1024
         )
-        ip, bound = self._server.sockets[0].getsockname()[:2]
-        self.address = f"{ip}:{bound}"
+        ip, bound_port = self._server.sockets[0].getsockname()[:2]
+        self.address = f"{ip}:{bound_port}"
         return self.address
 
     async def drain(self) -> None:
         """Stop accepting connections and wait for the requests in progress."""
-        self._draining = True
+        self._is_draining = True
         if self._server is not None:
             self._server.close()
         for task, conn in list(self._connections.items()):
@@ -308,7 +308,7 @@
             self.handler,
             self.limits,
             self.count_refusal,
-            lambda: self._draining,
+            lambda: self._is_draining,
         )
         task = asyncio.current_task()
         assert task is not None
--- a/siskinroad/jobs.py
+++ b/siskinroad/jobs.py
@@ -30,7 +30,8 @@
 # nevertheless, so the outcome is then unknown.
 RECORD_TIMEOUT = 5.0
 # Seconds to wait for the reply of a job's owner. It must exceed ``RECORD_TIMEOUT``,
-# or the owner's own refusal would come too late.
+# or the owner's own refusal would come too late. A refusal because the stored record
+# was not read back in time may still come later.
 REPLY_TIMEOUT = 7.0
 # Seconds after which a request to the owner is repeated.
 RESEND_INTERVAL = 0.5
--- a/siskinroad/listeners.py
+++ b/siskinroad/listeners.py
@@ -82,10 +82,10 @@
 
     async def drain(self) -> bool:
         """Stop as planned; return False if the drain ran out of time."""
-        draining = asyncio.create_task(self.daemon.drain())
+        drain_task = asyncio.create_task(self.daemon.drain())
         await asyncio.sleep(READINESS_DELAY)
         await self.caller_http.drain()
-        is_drained = await draining
+        is_drained = await drain_task
         await self.operator_http.close()
         return is_drained
 
@@ -105,23 +105,23 @@
     process at once, as a crash would.
     """
     loop = asyncio.get_running_loop()
-    first = asyncio.Event()
-    second = asyncio.Event()
+    first_signal = asyncio.Event()
+    second_signal = asyncio.Event()
 
     def on_signal() -> None:
-        (second if first.is_set() else first).set()
+        (second_signal if first_signal.is_set() else first_signal).set()
 
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, on_signal)
+    for signum in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signum, on_signal)
     await node.open()
-    await first.wait()
+    await first_signal.wait()
     drain = asyncio.create_task(node.drain())
-    killed = asyncio.create_task(second.wait())
-    await asyncio.wait({drain, killed}, return_when=asyncio.FIRST_COMPLETED)
+    kill_task = asyncio.create_task(second_signal.wait())
+    await asyncio.wait({drain, kill_task}, return_when=asyncio.FIRST_COMPLETED)
     code = EXIT_KILLED
     if drain.done():
         code = EXIT_DRAINED if drain.result() else EXIT_TIMEOUT
-    for task in (drain, killed):
+    for task in (drain, kill_task):
         task.cancel()
     await node.close()
     return code
--- a/siskinroad/log_reader.py
+++ b/siskinroad/log_reader.py
@@ -21,8 +21,8 @@
 
 __all__ = ["LogReader", "Stream"]
 
-# Longest seconds between two reads of the log. Reads confirm claims, so that a value
-# near ``LEASE_TIME`` lets them expire; a smaller one loads the platform.
+# Longest time between two reads of the log, in seconds. Reads confirm claims, so that
+# a value near ``LEASE_TIME`` lets them expire; a smaller one loads the platform.
 POLL_INTERVAL = 1.0
 # Seconds without the reader's ``LogTail`` after which a daemon reads the log itself. A
 # value near ``POLL_INTERVAL`` makes every daemon read it after one lost message.
@@ -33,8 +33,8 @@
 # reads the log itself, so smaller values add reads and larger ones memory.
 MAX_RECENT_APPENDS = 1000
 MAX_RECENT_BYTES = 1 << 19
-# Least seconds between two requests for the missing records of one stream; without it
-# each message received before the reply would cause another request.
+# Least time in seconds between two requests for the missing records of one stream;
+# without it each message received before the reply would cause another request.
 FETCH_INTERVAL = 0.3
 # Bounds in seconds of the pause after a failed read; it doubles with each failure.
 # Smaller values load a failing platform, larger ones delay recovery.
@@ -188,7 +188,9 @@
                 page = await self.platform.read(stream.name, start, PAGE_APPENDS)
             except LogTrimmedError as exc:
                 log.warning(
-                    "log: %s was trimmed, skipping to %d", stream.name, exc.first_offset
+                    "log: stream %s was trimmed; skipping to its first offset %d",
+                    stream.name,
+                    exc.first_offset,
                 )
                 stream.skip(exc.first_offset)
                 continue
@@ -197,7 +199,7 @@
             self.reads += 1
             if page.tail < start:
                 stream.stop_reason = (
-                    f"log ends at {page.tail}, but was read further before"
+                    f"log ends at {page.tail}, but this daemon has read further before"
                 )
                 log.error(
                     "log: reading of %s stopped: %s", stream.name, stream.stop_reason
@@ -254,7 +256,7 @@
         self._apply_records(stream, msg.start, msg.records)
 
     def handle_tail(self, msg: LogTail, now: float) -> None:
-        """Note the reader's position and request the records missing here."""
+        """Record the reader's position, or request the records missing here."""
         stream = self.streams.get(msg.stream)
         if stream is None:
             return
--- a/siskinroad/operators.py
+++ b/siskinroad/operators.py
@@ -67,7 +67,7 @@
             case ("GET", "/healthz"):
                 return json_response(200, {"state": daemon.state})
             case ("GET", "/readyz"):
-                return json_response(200 if daemon.ready else 503, daemon.state)
+                return json_response(200 if daemon.is_ready else 503, daemon.state)
             case ("GET", "/metrics"):
                 self._update_gauges()
                 return HttpResponse(200, daemon.metrics.render(), METRICS_TYPE)
@@ -110,8 +110,8 @@
                     return json_response(
                         400, {"error": "expect must be a revision number"}
                     )
-                number = int(expect) if expect is not None else None
-                applied = await self.daemon.publisher.apply(text, number)
+                expected_revision = int(expect) if expect is not None else None
+                applied = await self.daemon.publisher.apply(text, expected_revision)
                 log.info("operators: revision %d applied", applied.revision)
                 return json_response(200, applied)
         return json_response(405, {"error": "method not allowed; use GET, POST or PUT"})
@@ -120,14 +120,14 @@
         daemon = self.daemon
         metrics = daemon.metrics
         used = [0, 0, 0]
-        total = [0, 0, 0]
+        capacity = [0, 0, 0]
         for owner in daemon.shards.owners.values():
-            part, whole = owner.usage_and_capacity()
+            owner_used, owner_capacity = owner.usage_and_capacity()
             for i, name in enumerate(("cpu_milli", "memory_mib", "accelerators")):
-                used[i] += getattr(part, name)
-                total[i] += getattr(whole, name)
+                used[i] += getattr(owner_used, name)
+                capacity[i] += getattr(owner_capacity, name)
         for i, name in enumerate(("processors", "memory", "accelerators")):
-            ratio = used[i] / total[i] if total[i] else 0.0
+            ratio = used[i] / capacity[i] if capacity[i] else 0.0
             metrics.packing_ratio.labels(name).set(ratio)
         for kind, size in daemon.peers.traffic.bytes_sent.items():
             distance = "far" if kind == "Digest" else "near"
--- a/siskinroad/owner.py
+++ b/siskinroad/owner.py
@@ -195,7 +195,7 @@
                     if item.key in self.requests:
                         self.requests.answer_refused(item.key, refusal)
                     else:
-                        self.tasks.record_end(item.key, refusal.reason.value)
+                        self.tasks.record_outcome(item.key, refusal.reason.value)
                 case Finished(item=item, end=end):
                     if item.key in self.requests:
                         self.requests.answer_finished(item.key)
--- a/siskinroad/owner_context.py
+++ b/siskinroad/owner_context.py
@@ -1,4 +1,4 @@
-"""Interfaces between a shard's owner, its parts and its daemon."""
+"""Interfaces between a shard's owner, its components and its daemon."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
         Returns whether requests may be sent to the shard's hosts now.
     may_start_tasks : callable
         Returns whether ownership is certain, so that tasks may be started now.
-    record_end : callable
+    record_outcome : callable
         Stores the final outcome of a task, given job, task index and outcome;
         returns a future that is done once it is stored.
     count_event : callable
@@ -38,14 +38,14 @@
     upstreams: UpstreamClient
     may_place: Callable[[], bool]
     may_start_tasks: Callable[[], bool]
-    record_end: Callable[[str, int, str], asyncio.Future[int]]
+    record_outcome: Callable[[str, int, str], asyncio.Future[int]]
     count_event: Callable[[str, str], None]
     observe_wait: Callable[[Workload, float], None]
     rng: random.Random
 
 
 class OwnerContext(Protocol):
-    """Context that a shard's owner gives its parts.
+    """Shard owner as its components use it.
 
     Attributes
     ----------
--- a/siskinroad/publisher.py
+++ b/siskinroad/publisher.py
@@ -82,7 +82,7 @@
         self.wait_applied = wait_applied
 
     async def apply(
-        self, text: str, expect: int | None, wait: bool = True
+        self, text: str, expected_revision: int | None, wait: bool = True
     ) -> ApplyResult:
         """Put a cell file in force.
 
@@ -90,7 +90,7 @@
 
         Parameters
         ----------
-        expect : int or None
+        expected_revision : int or None
             The revision that the file is meant to replace; None for any.
         wait : bool
             Whether to wait until the revision is in force everywhere, for at most
@@ -107,10 +107,10 @@
         """
         cell = parse_cell(text)
         config = self.configuration
-        key = _request_key(text, expect)
+        key = _request_key(text, expected_revision)
         if digest(text) == digest(config.text) or config.was_applied(key):
-            return await self._await_in_force(config.revision, False, wait)
-        if expect is not None and expect != config.revision:
+            return await self._wait_in_force(config.revision, False, wait)
+        if expected_revision is not None and expected_revision != config.revision:
             raise _conflict_error(config.revision)
         config.check_no_host_moves(cell)
         base = config.revision
@@ -119,13 +119,13 @@
             await self.wait_applied(offset)
         except TimeoutError:
             raise PlatformError(
-                "appended, but not read back in time", step="apply"
+                "cell file appended to the log, but not read back in time", step="apply"
             ) from None
         if not config.was_applied(key):
             raise _conflict_error(config.revision)
-        return await self._await_in_force(base + 1, True, wait)
+        return await self._wait_in_force(base + 1, True, wait)
 
-    async def _await_in_force(
+    async def _wait_in_force(
         self, revision: int, changed: bool, wait: bool
     ) -> ApplyResult:
         loop = asyncio.get_running_loop()
@@ -142,14 +142,14 @@
         seen_revisions = {m.name: m.revision for m in self.members.alive_members(now)}
         seen_revisions[self.name] = self.configuration.revision
         seen_revisions.update(self.loads.revisions)
-        current = [name for name, known in seen_revisions.items() if known >= revision]
+        current = [name for name, seen in seen_revisions.items() if seen >= revision]
         return current, [
-            name for name, known in seen_revisions.items() if known < revision
+            name for name, seen in seen_revisions.items() if seen < revision
         ]
 
 
-def _request_key(text: str, expect: int | None) -> str:
-    return hashlib.sha256(f"{expect}\0{text}".encode()).hexdigest()[:20]
+def _request_key(text: str, expected_revision: int | None) -> str:
+    return hashlib.sha256(f"{expected_revision}\0{text}".encode()).hexdigest()[:20]
 
 
 def _conflict_error(revision: int) -> ConflictError:
--- a/siskinroad/shards.py
+++ b/siskinroad/shards.py
@@ -223,13 +223,15 @@
             self.upstreams,
             lambda: self.ownership.may_place(shard, self._now()),
             lambda: self.ownership.may_start_tasks(shard, self._now()),
-            self._record_end,
+            self._record_outcome,
             self._count_owner_event,
             self._observe_wait,
             self.rng,
         )
 
-    def _record_end(self, job: str, index: int, outcome: str) -> asyncio.Future[int]:
+    def _record_outcome(
+        self, job: str, index: int, outcome: str
+    ) -> asyncio.Future[int]:
         return self.appender.append(TasksEnded(job, [index], outcome), NO_TIMEOUT)
 
     def _count_owner_event(self, name: str, label: str) -> None:
--- a/siskinroad/status.py
+++ b/siskinroad/status.py
@@ -73,7 +73,7 @@
 
 
 class ReportLine(msgspec.Struct, frozen=True):
-    """Usage of one owner, in hours of processors, GiB and accelerators."""
+    """Usage of one owner in processor hours, GiB hours and accelerator hours."""
 
     owner: str
     used: list[float]
@@ -128,8 +128,8 @@
     owner = daemon.shards.owners.get(shard)
     claim = daemon.ledger.claims.get(shard)
     shard_claim = daemon.ownership.shard_claims.get(shard)
-    held = claim is not None and not claim.released
-    name = claim.daemon if claim is not None and held else ""
+    is_held = claim is not None and not claim.released
+    name = claim.daemon if claim is not None and is_held else ""
     hosts: dict[str, int] = {}
     if owner is None:
         return ShardStatus(shard, name, "elsewhere", 0, 0, 0, hosts)
@@ -211,15 +211,15 @@
         return ""
     waited = _loop_time() - item.enqueued
     if owner.scheduler.is_paused:
-        why = "it is uncertain whether this daemon still owns the hosts"
+        reason = "it is uncertain whether this daemon still owns the hosts"
     elif item.backoff_until > 0:
-        why = (
+        reason = (
             "it failed and will be retried in "
             f"{item.backoff_until - _loop_time():.1f} s"
         )
     else:
-        why = blocked_reason(state, item)
-    return f"{key} has waited {waited:.1f} s: {why}."
+        reason = blocked_reason(state, item)
+    return f"{key} has waited {waited:.1f} s: {reason}."
 
 
 def build_report(daemon: DaemonContext) -> Report:
@@ -231,8 +231,8 @@
         accounts.apportion_span(milliseconds(_loop_time()))
         _add_accounts(accounts, totals, capacity)
     sums = [
-        sum(x.used.values[d] + x.idle.values[d] for x in totals.values())
-        for d in range(3)
+        sum(x.used.values[dim] + x.idle.values[dim] for x in totals.values())
+        for dim in range(3)
     ]
     lines = [
         ReportLine(
--- a/siskinroad/tasks.py
+++ b/siskinroad/tasks.py
@@ -90,9 +90,9 @@
             return
         item = self._make_item(job, index)
         if item is None:
-            self.record_end(key, "refused")
+            self.record_outcome(key, "refused")
         elif job.is_cancelled:
-            self.record_end(key, "cancelled")
+            self.record_outcome(key, "cancelled")
         else:
             owner.run(owner.scheduler.requeue(item, owner.now()))
 
@@ -204,9 +204,9 @@
 
     def record_finished(self, key: str, end: End) -> None:
         """Store the outcome of a task or gang whose last attempt has ended."""
-        self.record_end(key, OUTCOME_BY_END.get(end, "failed"))
+        self.record_outcome(key, OUTCOME_BY_END.get(end, "failed"))
 
-    def record_end(self, key: str, outcome: str) -> None:
+    def record_outcome(self, key: str, outcome: str) -> None:
         """Store the outcome of a task or gang."""
         name, index = job_of(key)
         job = self.jobs.get(name)
@@ -215,7 +215,7 @@
         self._unrecorded.add(key)
         job.ended[index] = outcome
         job.unrecorded_count += 1
-        fut = self.owner.ports.record_end(name, index, outcome)
+        fut = self.owner.ports.record_outcome(name, index, outcome)
         fut.add_done_callback(lambda _: self._on_recorded(key))
 
     def _on_recorded(self, key: str) -> None:
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -35,10 +35,10 @@
         view = await job_service.submit(
             cell, cell.workloads["recount"], 20, b"", "night"
         )
-        again = await job_service.submit(
+        repeated_view = await job_service.submit(
             cell, cell.workloads["recount"], 20, b"", "night"
         )
-        assert again.job == view.job
+        assert repeated_view.job == view.job
         view = await job_service.watch(view.job, 60.0)
         assert view.settled
         assert view.done == 20
@@ -122,7 +122,7 @@
     async def main():
         world = World(small_cell(), NAMES)
         await world.start_and_configure()
-        before, began = world.log.appends, asyncio.get_running_loop().time()
+        appends_before, began_at = world.log.appends, asyncio.get_running_loop().time()
         await world.kill("east-1a")
         world.start("east-1a")
         for number in range(30):
@@ -133,8 +133,8 @@
             )
             await world.send_request("west-1a", "dispatch", b"x", f"key{number}")
         await asyncio.sleep(30.0)
-        elapsed = asyncio.get_running_loop().time() - began
-        assert (world.log.appends - before) / elapsed <= 50
+        elapsed = asyncio.get_running_loop().time() - began_at
+        assert (world.log.appends - appends_before) / elapsed <= 50
 
     run_on_paused_clock(main())
 
@@ -241,10 +241,10 @@
         assert {d.configuration.revision for d in world.daemons.values()} == {2}
         world.log.faults.down = True
         await world.kill("east-1a")
-        fresh = world.start("east-1a")
+        restarted = world.start("east-1a")
         await asyncio.sleep(10.0)
-        assert fresh.configuration.revision == 2
-        assert fresh.ready
+        assert restarted.configuration.revision == 2
+        assert restarted.is_ready
 
     run_on_paused_clock(main())
 
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -11,7 +11,7 @@
 
 
 async def serve(respond):
-    """Serve raw replies; None keeps silent, one that ends in ``!`` is cut off."""
+    """Serve raw replies: none for None; close the connection after a final ``!``."""
 
     async def accept(reader, writer):
         while True:
@@ -46,7 +46,7 @@
 
 
 def test_a_truncated_response_leaves_the_outcome_unknown():
-    """A body cut off by a lost connection must not be returned as whole."""
+    """A body cut off by a lost connection must not be returned as complete."""
 
     async def main():
         truncated = b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\ncut!"
@@ -79,7 +79,7 @@
 def test_connections_to_a_peer_are_limited():
     async def main():
         address = await serve(lambda head: None)
-        pool = HttpPool(connections_per_peer=1)
+        pool = HttpPool(max_connections_per_peer=1)
         first = asyncio.create_task(pool.request(address, "GET", "/", timeout=3.0))
         await asyncio.sleep(1)
         with pytest.raises(NotSentError, match="too many"):
--- a/tests/test_httpd.py
+++ b/tests/test_httpd.py
@@ -17,7 +17,7 @@
 
 
 class FakeWriter:
-    """Stream writer that keeps what is written."""
+    """Stream writer that records what is written."""
 
     def __init__(self):
         self.data = b""
--- a/tests/test_log_reader.py
+++ b/tests/test_log_reader.py
@@ -57,7 +57,7 @@
     return run_on_paused_clock(main())
 
 
-def filled_log(count):
+def make_log(count):
     log = MemoryPlatformState()
     for number in range(count):
         log.append("s", encode_record(number))
@@ -65,14 +65,14 @@
 
 
 def test_the_log_is_read_to_its_end_and_confirmed():
-    follower = run_follower(MemoryPlatform(filled_log(1200)))
+    follower = run_follower(MemoryPlatform(make_log(1200)))
     assert follower.offset == 1201
     assert follower.confirmed
 
 
 def test_records_received_during_a_read_are_not_taken_for_a_shorter_log():
     """A peer's records may pass the tail of a read in flight, which is no fault."""
-    log = filled_log(3)
+    log = make_log(3)
 
     class SlowPlatform(MemoryPlatform):
         async def read(self, stream, start, limit):
@@ -99,13 +99,13 @@
             page = await super().read(stream, start, limit)
             return LogPage(1, 1, [], 2) if start > 2 else page
 
-    follower = run_follower(ShrinkingPlatform(filled_log(3)))
+    follower = run_follower(ShrinkingPlatform(make_log(3)))
     assert "log ends at 2" in follower.stream.stop_reason
 
 
 def test_trimmed_records_are_skipped_and_a_damaged_one_stops_the_reader():
     """Reading past a damaged record would give daemons different states."""
-    log = filled_log(5)
+    log = make_log(5)
     log.trim("s", 4)
     follower = run_follower(MemoryPlatform(log))
     assert (follower.skipped, follower.offset) == (4, 6)
@@ -120,7 +120,7 @@
     """Records behind a gap must not be applied; a reply never starts after a gap."""
 
     async def main():
-        follower = Follower(MemoryPlatform(filled_log(0)))
+        follower = Follower(MemoryPlatform(make_log(0)))
         follower.log_reader.handle_records(LogRecords("s", 3, [encode_record(3)]))
         assert follower.offset == 1
         follower.log_reader.handle_records(
