--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -86,7 +86,7 @@
 
     async def main():
         address = await serve(lambda head: None)
-        pool = HttpPool(connections_per_peer=1)
+        pool = HttpPool(max_connections_per_peer=1)
         first = asyncio.create_task(pool.request(address, "GET", "/", timeout=3.0))
         await asyncio.sleep(1)
         with pytest.raises(NotSentError, match="too many"):
