--- a/siskinroad/accounts.py
+++ b/siskinroad/accounts.py
@@ -17,7 +17,8 @@
 DIMENSIONS = 3
 HOUR_MS = 3_600_000
 # Milliseconds between two divisions of the used and idle capacity. The amounts of a
-# span are booked to the hour in which it begins, so a larger value blurs the hours.
+# span are added to the hour in which it begins, so a larger value makes the hourly
+# amounts less exact.
 APPORTION_INTERVAL_MS = 60_000
 # Hours for which amounts are kept; it bounds the memory of the accounts.
 RETAINED_HOURS = 48
@@ -35,10 +36,10 @@
         return [amount] + [0] * (len(weights) - 1)
     exact = [amount * weight / total for weight in weights]
     parts = [int(x) for x in exact]
-    left = amount - sum(parts)
+    remainder = amount - sum(parts)
     order = sorted(range(len(parts)), key=lambda i: (parts[i] - exact[i], i))
-    step = 1 if left >= 0 else -1
-    for k in range(abs(left)):
+    step = 1 if remainder >= 0 else -1
+    for k in range(abs(remainder)):
         parts[order[k % len(order)]] += step
     return parts
 
@@ -83,14 +84,14 @@
     total: list[int] = field(default_factory=lambda: [0] * DIMENSIONS)
 
     def accumulate(self, now: int) -> None:
-        passed = now - self.since
-        if passed > 0:
-            self.total[0] += self.held.cpu_milli * passed
-            self.total[1] += self.held.memory_mib * passed
-            self.total[2] += self.held.accelerators * passed
+        elapsed_ms = now - self.since
+        if elapsed_ms > 0:
+            self.total[0] += self.held.cpu_milli * elapsed_ms
+            self.total[1] += self.held.memory_mib * elapsed_ms
+            self.total[2] += self.held.accelerators * elapsed_ms
             self.since = now
 
-    def take_total(self, now: int) -> list[int]:
+    def pop_total(self, now: int) -> list[int]:
         self.accumulate(now)
         total, self.total = self.total, [0] * DIMENSIONS
         return total
@@ -120,7 +121,9 @@
         self._capacity.accumulate(now)
         self._capacity.held = total
 
-    def change(self, owner: str, held: Resources, sign: int, now: int) -> None:
+    def change_allocation(
+        self, owner: str, held: Resources, sign: int, now: int
+    ) -> None:
         """Add resources to an owner's allocation (sign 1) or subtract them (-1)."""
         meter = self._meters.get(owner)
         if meter is None:
@@ -135,8 +138,8 @@
 
     def apportion_span(self, now: int) -> None:
         """Divide the capacity of the time since the last call among the owners."""
-        capacity = self._capacity.take_total(now)
-        used = {name: meter.take_total(now) for name, meter in self._meters.items()}
+        capacity = self._capacity.pop_total(now)
+        used = {name: meter.pop_total(now) for name, meter in self._meters.items()}
         hour = self._apportioned_until // HOUR_MS
         self._apportioned_until = now
         spans = self.hours.setdefault(hour, {})
@@ -145,13 +148,13 @@
             spans.setdefault(name, OwnerSpan())
         for dim in range(DIMENSIONS):
             amounts = [used[name][dim] if name in used else 0 for name in names]
-            self._divide(dim, capacity[dim], names, amounts, spans)
+            self._apportion_dimension(dim, capacity[dim], names, amounts, spans)
         self.capacity.setdefault(hour, Amounts()).add(Amounts(capacity))
-        for old in [h for h in self.hours if h < hour - RETAINED_HOURS]:
-            del self.hours[old]
-            del self.capacity[old]
+        for expired in [x for x in self.hours if x < hour - RETAINED_HOURS]:
+            del self.hours[expired]
+            del self.capacity[expired]
 
-    def _divide(
+    def _apportion_dimension(
         self,
         dim: int,
         capacity: int,
--- a/siskinroad/attempts.py
+++ b/siskinroad/attempts.py
@@ -21,8 +21,9 @@
 # attempt.
 FIRST_BACKOFF = 0.1
 MAX_BACKOFF = 30.0
-# Attempts of a request that never reached a host and do not count as tries. Without a
-# limit, a request would be repeated forever. It also bounds the exponent of a backoff.
+# Most attempts of a request that never reached a host and so do not count as tries.
+# Without a limit, a request would be repeated forever. It also bounds the exponent of
+# the backoff of a batch task or gang.
 MAX_NOT_SENT = 10
 
 SEVERITY = {end: rank for rank, end in enumerate(End)}
@@ -45,8 +46,8 @@
         self.verdicts: list[Verdict] = []
         self.backing_off: list[Item] = []
 
-    def begin(
-        self, item: Item, places: list[HostView], held: Resources, now: float
+    def start_attempt(
+        self, item: Item, hosts: list[HostView], held: Resources, now: float
     ) -> StartTask:
         """Allocate a host to each member and return the effect that starts them."""
         item.tries += 1
@@ -56,19 +57,19 @@
         expected_end = now + self.shard.estimates.run_time(item.workload)
         run = Running(item, attempt, {}, held, now, expected_end)
         self._register_run(run)
-        for member, view in enumerate(places):
-            self._place(run, member, view, held, now)
-        return StartTask(item, attempt, [view.name for view in places])
+        for member, view in enumerate(hosts):
+            self._place_member(run, member, view, held, now)
+        return StartTask(item, attempt, [view.name for view in hosts])
 
     def _register_run(self, run: Running) -> None:
         item = run.item
         state = self.shard.pools[item.workload.pool]
         self.shard.running[item.key] = run
-        background = item.workload.urgency is Urgency.BACKGROUND
-        if background and item.workload.checkpoint:
+        is_background = item.workload.urgency is Urgency.BACKGROUND
+        if is_background and item.workload.checkpoint:
             state.evictable[item.key] = run
 
-    def _place(
+    def _place_member(
         self, run: Running, member: int, view: HostView, held: Resources, now: float
     ) -> None:
         workload = run.item.workload
@@ -95,11 +96,11 @@
             self._register_run(run)
         if name.member not in run.known_members:
             free = Resources(view.cpu, view.memory, view.accelerators, view.slots)
-            self._place(run, name.member, view, run.held.clip(free), now)
+            self._place_member(run, name.member, view, run.held.clip(free), now)
         return run.hosts.get(name.member) == host
 
     def fail_partial(self, run: Running) -> list[Effect]:
-        """Stop a gang of which only some members were found, so that it restarts."""
+        """Stop a gang of which only some members were found; it is started again."""
         if len(run.known_members) >= run.item.workload.size:
             return []
         run.worst_end = max(run.worst_end, End.LOST, key=lambda end: SEVERITY[end])
@@ -113,7 +114,7 @@
         if is_backing_off:
             self.drop_backing_off(item)
         else:
-            self.shard.waiting.drop(item)
+            self.shard.waiting.stop_counting(item)
 
     def record_attempt_start(self, key: str) -> None:
         """Record that the host has confirmed the start of an item."""
@@ -143,7 +144,7 @@
         if run is None or member not in run.hosts:
             return None, []
         if usage is not None:
-            run.note_usage(member, usage)
+            run.record_peak_usage(member, usage)
         view = self._release(run, member, now)
         self._record_outcome(run, view, member, end, now, run_time)
         effects: list[Effect] = []
@@ -188,11 +189,11 @@
         run_time: float,
     ) -> None:
         workload = run.item.workload
-        seconds = run_time or now - run.started
+        run_time_s = run_time or now - run.started
         usage = run.peak.get(member, Usage())
         if end is End.DONE and (usage.memory_mib or workload.kind == "service"):
             cpu, memory = usage.cpu_milli, usage.memory_mib
-            self.shard.estimates.observe(workload, seconds, cpu, memory)
+            self.shard.estimates.observe(workload, run_time_s, cpu, memory)
         if workload.kind == "service":
             self._adjust_limit(view, end, now)
         if end not in HEALTH_ENDS:
@@ -211,15 +212,15 @@
             limit.record_success()
         elif end in (End.UNKNOWN, End.REJECTED, End.NOT_SENT):
             limit.record_failure(now)
-        view.limit = 1 if view.state == "probation" else limit.whole_tasks
+        view.limit = 1 if view.state == "probation" else limit.max_tasks
 
     def _conclude(self, run: Running, now: float) -> list[Effect]:
         item = run.item
         state = self.shard.pools[item.workload.pool]
         self._remove_run(run, state, now)
         if item.state == "stopping":
-            done = run.worst_end is End.DONE
-            return self._finish(item, End.DONE if done else End.STOPPED)
+            is_done = run.worst_end is End.DONE
+            return self._finish(item, End.DONE if is_done else End.STOPPED)
         match run.worst_end:
             case End.DONE:
                 return self._finish(item, End.DONE)
@@ -245,7 +246,7 @@
         return [Finished(item, end)]
 
     def requeue(self, item: Item, *, front: bool) -> list[Effect]:
-        """Queue an item again without a backoff."""
+        """Queue an item for another attempt without a backoff."""
         item.state = "waiting"
         item.backoff_until = 0.0
         hosts = self.shard.pools[item.workload.pool].index.hosts
@@ -273,16 +274,16 @@
         if failure is Failure.NOT_SENT and item.unsent < MAX_NOT_SENT:
             item.unsent += 1
         tries = item.tries - item.unsent
-        verdict = decide_retry(item.workload, failure, tries, budget, self.shard.rng)
-        if isinstance(verdict, Retry):
-            if now + verdict.delay <= item.deadline:
-                return self._back_off(item, now + verdict.delay)
+        decision = decide_retry(item.workload, failure, tries, budget, self.shard.rng)
+        if isinstance(decision, Retry):
+            if now + decision.delay <= item.deadline:
+                return self._back_off(item, now + decision.delay)
             may_have_run = failure in (Failure.UNKNOWN, Failure.FAILED)
             outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
-            verdict = Refusal(Reason.DEADLINE, step="retry", outcome=outcome)
+            decision = Refusal(Reason.DEADLINE, step="retry", outcome=outcome)
         item.state = "lost"
         del self.shard.items[item.key]
-        return [Refused(item, verdict)]
+        return [Refused(item, decision)]
 
     def release_backed_off(self, now: float) -> None:
         """Queue the items whose backoff after a failure is over."""
--- a/siskinroad/cell.py
+++ b/siskinroad/cell.py
@@ -187,7 +187,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Owner:
-    """An owner who pays; a quota dimension of 0 means no limit."""
+    """Owner who pays; a quota dimension of 0 means no limit."""
 
     name: str
     weight: float
@@ -213,7 +213,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Pool:
-    """An upstream: a pool of hosts of the same kind."""
+    """Upstream: a pool of hosts of the same kind."""
 
     name: str
     capacity: Resources
@@ -225,7 +225,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Workload:
-    """A service, a kind of batch job or a kind of gang.
+    """Service, kind of batch job or kind of gang.
 
     Times are in seconds. ``size`` is the number of tasks of a gang, otherwise 1.
     ``demand`` is that of one task or request.
@@ -254,7 +254,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cell:
-    """A validated cell file."""
+    """Validated cell file."""
 
     name: str
     owners: dict[str, Owner]
@@ -453,18 +453,19 @@
     return f"{pool}/{data_centre}/{int.from_bytes(rack_hash) % shards}"
 
 
-def moved_hosts(old: Cell, new: Cell) -> list[str]:
+def moved_hosts(current: Cell, proposed: Cell) -> list[str]:
     """Return the hosts that would change their shard, which is not allowed.
 
-    While some daemons still use the old revision, two daemons would own such a host.
+    While some daemons still use the current revision, two daemons would own such a
+    host.
     To move a host, remove it in one revision and add it under another name and address
     in a later one.
     """
-    shards = {host.name: host.shard for host in old.hosts()}
-    addresses = {host.address: host.shard for host in old.hosts()}
+    shards = {host.name: host.shard for host in current.hosts()}
+    addresses = {host.address: host.shard for host in current.hosts()}
     return [
         host.name
-        for host in new.hosts()
+        for host in proposed.hosts()
         if shards.get(host.name, host.shard) != host.shard
         or addresses.get(host.address, host.shard) != host.shard
     ]
@@ -482,12 +483,18 @@
     return flat
 
 
-def diff(old: Cell | None, new: Cell) -> list[str]:
-    """Return one line for each thing added (+), removed (-) or changed (~)."""
-    old_values = _flatten(old) if old else {}
-    new_values = _flatten(new)
-    lines = [f"- {key}" for key in sorted(old_values.keys() - new_values.keys())]
-    lines += [f"+ {key}" for key in sorted(new_values.keys() - old_values.keys())]
-    common = sorted(old_values.keys() & new_values.keys())
-    lines += [f"~ {key}" for key in common if old_values[key] != new_values[key]]
+def diff(current: Cell | None, proposed: Cell) -> list[str]:
+    """Return one line for each entry removed (-), added (+) or changed (~)."""
+    current_values = _flatten(current) if current else {}
+    proposed_values = _flatten(proposed)
+    lines = [
+        f"- {key}" for key in sorted(current_values.keys() - proposed_values.keys())
+    ]
+    lines += [
+        f"+ {key}" for key in sorted(proposed_values.keys() - current_values.keys())
+    ]
+    common = sorted(current_values.keys() & proposed_values.keys())
+    lines += [
+        f"~ {key}" for key in common if current_values[key] != proposed_values[key]
+    ]
     return lines
--- a/siskinroad/charts.py
+++ b/siskinroad/charts.py
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Chart:
-    """A state chart.
+    """State chart.
 
     Attributes
     ----------
--- a/siskinroad/configuration.py
+++ b/siskinroad/configuration.py
@@ -14,8 +14,8 @@
 
 __all__ = ["Configuration", "RevisionText", "decode_revision"]
 
-# Operators' requests remembered to recognise a repeated one. An older request that is
-# repeated is taken for a new one.
+# Keys of operators' requests kept to recognise a repeated request. With a smaller
+# value, the repeat of an earlier request is more often processed as a new one.
 MAX_RECENT_KEYS = 64
 
 
@@ -76,15 +76,15 @@
 
     def apply(self, offset: int, records: list[Record]) -> bool:
         """Apply one append's records; return whether the revision changed."""
-        changed = False
+        has_changed = False
         for record in records:
             match record:
                 case CellRevision():
-                    changed |= self._apply_revision(record)
+                    has_changed |= self._apply_revision(record)
                 case SnapshotPart():
-                    changed |= self._apply_part(record)
+                    has_changed |= self._apply_part(record)
         self.next_offset = offset + 1
-        return changed
+        return has_changed
 
     def _apply_revision(self, record: CellRevision) -> bool:
         is_next = record.replaces == self.revision
@@ -127,14 +127,14 @@
             return False
         return self.apply_if_newer(decode_revision(data))
 
-    def apply_if_newer(self, whole: RevisionText) -> bool:
+    def apply_if_newer(self, complete: RevisionText) -> bool:
         """Apply a complete revision if it is newer; return whether it is."""
-        if whole.revision <= self.revision:
+        if complete.revision <= self.revision:
             return False
-        cell = parse_cell(whole.text, f"revision {whole.revision}")
-        self.revision, self.cell, self.key = whole.revision, cell, whole.key
-        self._recent_keys.append(whole.key)
-        self.next_offset = max(self.next_offset, whole.next)
+        cell = parse_cell(complete.text, f"revision {complete.revision}")
+        self.revision, self.cell, self.key = complete.revision, cell, complete.key
+        self._recent_keys.append(complete.key)
+        self.next_offset = max(self.next_offset, complete.next)
         return True
 
     def complete_revision(self) -> RevisionText:
--- a/siskinroad/deltas.py
+++ b/siskinroad/deltas.py
@@ -20,29 +20,29 @@
     middle: str
 
 
-def make_delta(old: str, new: str) -> Delta:
-    """Return the delta that turns ``old`` into ``new``."""
-    old_lines = old.splitlines(keepends=True)
-    new_lines = new.splitlines(keepends=True)
-    common_max = min(len(old_lines), len(new_lines))
+def make_delta(base: str, target: str) -> Delta:
+    """Return the delta that turns ``base`` into ``target``."""
+    base_lines = base.splitlines(keepends=True)
+    target_lines = target.splitlines(keepends=True)
+    common_max = min(len(base_lines), len(target_lines))
     head = 0
-    while head < common_max and old_lines[head] == new_lines[head]:
+    while head < common_max and base_lines[head] == target_lines[head]:
         head += 1
     tail = 0
-    while tail < common_max - head and old_lines[-1 - tail] == new_lines[-1 - tail]:
+    while tail < common_max - head and base_lines[-1 - tail] == target_lines[-1 - tail]:
         tail += 1
-    return Delta(head, tail, "".join(new_lines[head : len(new_lines) - tail]))
+    return Delta(head, tail, "".join(target_lines[head : len(target_lines) - tail]))
 
 
-def apply_delta(old: str, delta: Delta) -> str:
-    """Return ``old`` with the delta applied.
+def apply_delta(base: str, delta: Delta) -> str:
+    """Return ``base`` with the delta applied.
 
     Raises
     ------
     ProtocolError
-        If the delta keeps more lines than ``old`` has.
+        If the delta keeps more lines than ``base`` has.
     """
-    lines = old.splitlines(keepends=True)
+    lines = base.splitlines(keepends=True)
     if delta.head < 0 or delta.tail < 0 or delta.head + delta.tail > len(lines):
         raise ProtocolError(
             "delta keeps more lines than the text has", step="deltas.apply"
--- a/siskinroad/dispatch.py
+++ b/siskinroad/dispatch.py
@@ -17,16 +17,17 @@
 # Seconds after which a reservation is planned again, so that it follows changed
 # estimates of when the running tasks end.
 RESERVATION_REFRESH_INTERVAL = 5.0
-# Minimum seconds between the plans of new reservations in a pool. Planning visits all
-# tasks of many hosts, so a smaller value costs processor time.
+# Minimum seconds between two attempts to plan a new reservation in a pool. Planning
+# visits all tasks of many hosts, so a smaller value costs processor time.
 MIN_PLAN_INTERVAL = 1.0
 # Largest fraction of a pool's hosts reserved at one time. A larger value leaves too
 # few hosts for small work.
 MAX_RESERVED_FRACTION = 0.5
-# Seconds of waiting after which an item may reserve hosts beyond
-# ``MAX_RESERVED_FRACTION``, so that a large gang is not starved.
+# Seconds of waiting after which an item may reserve more than
+# ``MAX_RESERVED_FRACTION`` of the hosts, so that a large gang is not starved.
 AGED_WAIT_TIME = 120.0
-# Remaining run time of an overdue task, as a fraction of the time that it has run.
+# Expected remaining run time of an overdue task, as a fraction of the time that it
+# has run.
 OVERDUE_FRACTION = 0.6
 # Blocked lanes that are tried again in one tick; it bounds the cost of a tick.
 MAX_UNBLOCKED_LANES = 8
@@ -76,7 +77,7 @@
         enqueued = head.enqueued if head else now
         return self.shard.shares.rank(lane.workload.owner, now), enqueued
 
-    def fill(self, view: HostView, now: float) -> list[StartTask]:
+    def fill_host(self, view: HostView, now: float) -> list[StartTask]:
         """Start waiting work on one host that has gained free capacity.
 
         Each start ranks the lanes once and considers this host only, so the cost
@@ -108,10 +109,12 @@
         state = self.shard.pools[pool]
         fitting: dict[Urgency, list[Lane]] = {urgency: [] for urgency in Urgency}
         for urgency, lanes in self.shard.waiting.active.items():
-            background = urgency is Urgency.BACKGROUND
+            is_background = urgency is Urgency.BACKGROUND
             for lane in lanes.values():
                 if lane.workload.pool == pool and self._fits_on(state, lane, view):
-                    fitting[lane.urgency(now) if background else urgency].append(lane)
+                    fitting[lane.urgency(now) if is_background else urgency].append(
+                        lane
+                    )
         return fitting
 
     def _start_head(
@@ -124,38 +127,39 @@
         if state is None or (self.requests_only and workload.kind != "service"):
             return None
         need = self.shard.estimates.reserve(workload, state.pool.capacity)
-        whole = need.times(workload.size)
-        if not self.shard.shares.within_quota(workload.owner, whole):
+        total_need = need.times(workload.size)
+        if not self.shard.shares.within_quota(workload.owner, total_need):
             return None
-        if not self._leaves_headroom(state, workload, whole, now):
+        if not self._leaves_headroom(state, workload, total_need, now):
             return None
-        places = self._choose_hosts(state, item, need, now, only_host)
-        if places is None:
+        hosts = self._choose_hosts(state, item, need, now, only_host)
+        if hosts is None:
             if only_host is None:
                 self._reserve_hosts(state, item, need, now)
             return None
-        self.shard.waiting.take(lane)
+        self.shard.waiting.pop_head(lane)
         lane.count_start(now)
         state.reservations.pop(item.key, None)
-        return self.attempts.begin(item, places, need, now)
+        return self.attempts.start_attempt(item, hosts, need, now)
 
     def _leaves_headroom(
-        self, state: PoolState, workload: Workload, need: Resources, now: float
+        self, state: PoolState, workload: Workload, total_need: Resources, now: float
     ) -> bool:
         reserved_tasks = state.headroom.reserved_tasks(workload.urgency, now)
         if not reserved_tasks:
             return True
         slots = state.pool.capacity.slots * len(state.index.hosts)
         reserved_tasks = min(reserved_tasks, int(slots * MAX_HEADROOM_FRACTION))
-        urgent = state.urgent_need
+        urgent_demand = state.urgent_need
         index = state.index
         return (
-            index.free_slots - need.slots >= reserved_tasks * urgent.slots
-            and index.free_cpu - need.cpu_milli >= reserved_tasks * urgent.cpu_milli
-            and index.free_memory - need.memory_mib
-            >= reserved_tasks * urgent.memory_mib
-            and index.free_accelerators - need.accelerators
-            >= reserved_tasks * urgent.accelerators
+            index.free_slots - total_need.slots >= reserved_tasks * urgent_demand.slots
+            and index.free_cpu - total_need.cpu_milli
+            >= reserved_tasks * urgent_demand.cpu_milli
+            and index.free_memory - total_need.memory_mib
+            >= reserved_tasks * urgent_demand.memory_mib
+            and index.free_accelerators - total_need.accelerators
+            >= reserved_tasks * urgent_demand.accelerators
         )
 
     def _choose_hosts(
@@ -193,9 +197,9 @@
             return set()
         expected_end = now + self.shard.estimates.run_time(item.workload)
         reserved: set[str] = set()
-        for key, held in state.reservations.items():
-            if key != item.key and not held.admits(expected_end):
-                reserved |= held.hosts
+        for key, reservation in state.reservations.items():
+            if key != item.key and not reservation.admits(expected_end):
+                reserved |= reservation.hosts
         return reserved
 
     def _reserve_hosts(
@@ -206,26 +210,31 @@
             return
         state.last_planned = now
         state.reservations.pop(item.key, None)
-        held = self._reserved_hosts(state)
+        reserved = self._reserved_hosts(state)
         hosts = [
             view
             for view in state.index.hosts.values()
-            if view.is_open and view.name not in item.avoid and view.name not in held
+            if view.is_open
+            and view.name not in item.avoid
+            and view.name not in reserved
         ]
         size = item.workload.size
         plan = plan_reservation(
             item.key, need, size, hosts, lambda task: self._expected_end(task, now), now
         )
-        aged = now - item.enqueued > AGED_WAIT_TIME
-        count = len(held) + len(plan.hosts) if plan is not None else 0
-        if plan is not None and (aged or self._leaves_enough_unreserved(state, count)):
+        is_aged = now - item.enqueued > AGED_WAIT_TIME
+        reserved_count = len(reserved) + len(plan.hosts) if plan is not None else 0
+        if plan is not None and (
+            is_aged or self._leaves_enough_unreserved(state, reserved_count)
+        ):
             state.reservations[item.key] = plan
 
     def _drop_stale_reservations(self, state: PoolState) -> None:
         """Remove reservations of items that are no longer the head of their lane.
 
-        An item that failed and waits behind others again is not tried, so its
-        reservation would never be used and would block its hosts indefinitely.
+        Only the head of a lane is tried. The reservation of an item that failed and
+        waits behind others again would never be used and would block its hosts
+        indefinitely.
         """
         for key in list(state.reservations):
             holder = self.shard.items.get(key)
@@ -235,19 +244,19 @@
 
     def _reserved_hosts(self, state: PoolState) -> set[str]:
         names: set[str] = set()
-        for held in state.reservations.values():
-            names |= held.hosts
+        for reservation in state.reservations.values():
+            names |= reservation.hosts
         return names
 
-    def _leaves_enough_unreserved(self, state: PoolState, held: int) -> bool:
+    def _leaves_enough_unreserved(self, state: PoolState, reserved_count: int) -> bool:
         if not state.reservations:
             return True
-        return held <= len(state.index.hosts) * MAX_RESERVED_FRACTION
+        return reserved_count <= len(state.index.hosts) * MAX_RESERVED_FRACTION
 
     def _may_reserve(self, state: PoolState, item: Item, now: float) -> bool:
-        held = state.reservations.get(item.key)
-        if held is not None:
-            return now - held.planned_at >= RESERVATION_REFRESH_INTERVAL
+        reservation = state.reservations.get(item.key)
+        if reservation is not None:
+            return now - reservation.planned_at >= RESERVATION_REFRESH_INTERVAL
         return now - state.last_planned >= MIN_PLAN_INTERVAL
 
     def _expected_end(self, task: str, now: float) -> float:
@@ -269,17 +278,19 @@
         if workload.size == 1:
             return True
         head = lane.head()
-        held = state.reservations.get(head.key) if head is not None else None
-        if held is not None and view.name in held.hosts:
-            return self._reservation_fits(state, held, need, workload.size)
+        reservation = state.reservations.get(head.key) if head is not None else None
+        if reservation is not None and view.name in reservation.hosts:
+            return self._reservation_fits(state, reservation, need, workload.size)
         return view.count_fitting(need) >= workload.size
 
     def _reservation_fits(
-        self, state: PoolState, held: Reservation, need: Resources, size: int
+        self, state: PoolState, reservation: Reservation, need: Resources, size: int
     ) -> bool:
         hosts = state.index.hosts
         fitting = sum(
-            hosts[name].count_fitting(need) for name in held.hosts if name in hosts
+            hosts[name].count_fitting(need)
+            for name in reservation.hosts
+            if name in hosts
         )
         return fitting >= size
 
@@ -293,7 +304,7 @@
         """Unblock a few lanes, a different group on each call.
 
         This finds capacity that becomes available without the end of a task: a
-        changed headroom or quota, or a reservation that is over.
+        changed headroom or quota, or a reservation that has been removed.
         """
         blocked = [
             lane
@@ -313,8 +324,8 @@
     if state is None:
         return f"no host of {workload.pool} belongs to this shard"
     need = shard.estimates.reserve(workload, state.pool.capacity)
-    whole = need.times(workload.size)
-    if not shard.shares.within_quota(workload.owner, whole):
+    total_need = need.times(workload.size)
+    if not shard.shares.within_quota(workload.owner, total_need):
         return f"{workload.owner} has used up its quota"
     open_hosts = [view for view in state.index.hosts.values() if view.is_open]
     if not open_hosts:
--- a/siskinroad/estimates.py
+++ b/siskinroad/estimates.py
@@ -15,15 +15,16 @@
 
 # Histogram buckets for each factor of two. With fewer, quantiles come out too high.
 BUCKETS_PER_DOUBLING = 4
-# Weight that a sample keeps when the next one arrives. A larger value follows
-# changes of a workload more slowly.
+# Factor applied to the weight of earlier samples when one arrives. With a larger
+# value, estimates follow changes of a workload more slowly.
 DECAY = 0.995
-# Recent samples from which on estimates replace the declared values.
+# Decayed number of samples from which estimates replace the declared values.
 MIN_SAMPLES = 5.0
-# Multiple of its declared size that a task gets while its workload is not known. A
-# smaller value overcommits hosts where the declared sizes are too low.
+# Multiple of its declared size that is allocated to a task while its workload has too
+# few samples. A smaller value overcommits hosts where the declared sizes are too low.
 UNKNOWN_FACTOR = 4.0
-# Quantile of the peak usage that a task gets, and the factor by which it is raised.
+# Quantile of the peak usage that is allocated to a task, and the factor by which it
+# is raised.
 PEAK_QUANTILE = 0.95
 PEAK_MARGIN = 1.1
 # Largest factor between the declared and the estimated size, in both directions.
@@ -55,10 +56,10 @@
 
     def quantile(self, q: float) -> float:
         """Return the upper edge of the bucket that contains quantile ``q``."""
-        left = q * self.total
+        remaining = q * self.total
         for index in sorted(self.counts):
-            left -= self.counts[index]
-            if left <= 1e-9 * self.total:
+            remaining -= self.counts[index]
+            if remaining <= 1e-9 * self.total:
                 return 2.0 ** (index / BUCKETS_PER_DOUBLING)
         return 0.0
 
--- a/siskinroad/gangs.py
+++ b/siskinroad/gangs.py
@@ -1,9 +1,10 @@
-"""Reservations of hosts for gangs, and backfill that does not delay them.
+"""Reservations of hosts for batch tasks and gangs, and backfill without delaying them.
 
-When a gang is next and does not fit, the hosts whose running tasks are expected to
-end soonest are reserved for it. Other work may use these hosts only if it is
-expected to end before the gang starts. Two reservations never share a host, so
-two gangs cannot deadlock, each with a part of the capacity that the other needs.
+When a batch task or gang is next and does not fit, the hosts whose running tasks
+are expected to end soonest are reserved for it. Other work may use these hosts only
+if it is expected to end before the reserved work starts. Two reservations never
+share a host, so two gangs cannot deadlock, each with a part of the capacity that the
+other needs.
 """
 
 from __future__ import annotations
@@ -23,12 +24,12 @@
 
 @dataclass(slots=True)
 class Reservation:
-    """Hosts reserved for one gang.
+    """Hosts reserved for one batch task or gang.
 
     Attributes
     ----------
     key : str
-        Key of the gang.
+        Key of the item.
     hosts : set of str
         Names of the hosts; other work may use them only until ``start``.
     start : float
@@ -61,14 +62,14 @@
         self.slots += held.slots
 
     def count_fitting(self, need: Resources) -> int:
-        best = self.slots // max(need.slots, 1)
+        count = self.slots // max(need.slots, 1)
         if need.cpu_milli:
-            best = min(best, self.cpu // need.cpu_milli)
+            count = min(count, self.cpu // need.cpu_milli)
         if need.memory_mib:
-            best = min(best, self.memory // need.memory_mib)
+            count = min(count, self.memory // need.memory_mib)
         if need.accelerators:
-            best = min(best, self.accelerators // need.accelerators)
-        return best
+            count = min(count, self.accelerators // need.accelerators)
+        return count
 
 
 def plan_reservation(
@@ -79,12 +80,12 @@
     expected_end: Callable[[str], float],
     now: float,
 ) -> Reservation | None:
-    """Plan a reservation for a gang that does not fit yet.
+    """Plan a reservation for a batch task or gang that does not fit yet.
 
     Parameters
     ----------
     need : Resources
-        Resources that one member takes.
+        Resources to allocate to one member.
     hosts : list of HostView
         Candidates; the first ``MAX_CANDIDATES`` are considered.
     expected_end : callable
@@ -93,7 +94,7 @@
     Returns
     -------
     Reservation or None
-        None if the gang would not fit even after all tasks that are expected to end
+        None if the item would not fit even after all tasks that are expected to end
         have ended.
     """
     events: list[tuple[float, int, HostView, Resources]] = []
--- a/siskinroad/health.py
+++ b/siskinroad/health.py
@@ -10,11 +10,11 @@
 
 __all__ = ["Health", "Verdict"]
 
-# Blame at which a host is ejected. One failure adds at most 1, so a smaller value
-# ejects hosts for single failures.
+# Accumulated blame at which a host is ejected. One failure adds at most 1, so a value
+# of 1 or less would eject a host for a single failure.
 EJECT_BLAME = 2.5
 EJECT_RATE = 0.5
-# Weight that earlier outcomes and blame keep after another outcome.
+# Factor applied to earlier outcomes and to blame at each further outcome.
 DECAY = 0.9
 # First and longest quarantine of an ejected host, in seconds. It doubles each time the
 # host fails on probation, so that a faulty host does not fail work again and again.
@@ -25,15 +25,15 @@
 # Largest fraction of a pool's hosts in quarantine or on probation. A larger value
 # could take the whole pool out of service on a fault that all hosts share.
 MAX_EJECTED_FRACTION = 0.5
-# Half the number of counterparts without failures that a failure rate assumes. With a
-# smaller value, a single counterpart could decide the rate.
+# Half the number of failure-free counterparts added to those observed when a failure
+# rate is computed. With a smaller value, a single counterpart could decide the rate.
 PRIOR_COUNT = 1.0
 
 
 @dataclass(slots=True)
 class _Outcomes:
-    ok: float = 0.0
-    failed: float = 0.0
+    successes: float = 0.0
+    failures: float = 0.0
 
 
 @dataclass(slots=True)
@@ -42,27 +42,29 @@
 
     by_counterpart: dict[str, _Outcomes] = field(default_factory=dict)
 
-    def add(self, other: str, succeeded: bool) -> None:
-        outcomes = self.by_counterpart.get(other)
+    def add(self, counterpart: str, succeeded: bool) -> None:
+        outcomes = self.by_counterpart.get(counterpart)
         if outcomes is None:
-            outcomes = self.by_counterpart[other] = _Outcomes()
+            outcomes = self.by_counterpart[counterpart] = _Outcomes()
         if succeeded:
-            outcomes.ok = outcomes.ok * DECAY + 1
-            outcomes.failed *= DECAY
+            outcomes.successes = outcomes.successes * DECAY + 1
+            outcomes.failures *= DECAY
         else:
-            outcomes.failed = outcomes.failed * DECAY + 1
-            outcomes.ok *= DECAY
+            outcomes.failures = outcomes.failures * DECAY + 1
+            outcomes.successes *= DECAY
 
-    def rate_without(self, other: str) -> float:
-        """Return the mean failure rate over all counterparts but ``other``."""
-        failed = 0.0
+    def failure_rate_without(self, counterpart: str) -> float:
+        """Return the mean failure rate over all counterparts but the given one."""
+        failures = 0.0
         total = 2 * PRIOR_COUNT
         for name, outcomes in self.by_counterpart.items():
-            if name != other:
-                rate = outcomes.failed / (outcomes.ok + outcomes.failed + 1e-9)
-                failed += rate
+            if name != counterpart:
+                rate = outcomes.failures / (
+                    outcomes.successes + outcomes.failures + 1e-9
+                )
+                failures += rate
                 total += 1
-        return failed / total
+        return failures / total
 
 
 @dataclass(slots=True, frozen=True)
@@ -92,31 +94,31 @@
         self._quarantined: set[str] = set()
 
     def observe(
-        self, host: str, workload: str, succeeded: bool, now: float, hosts: int
+        self, host: str, workload: str, succeeded: bool, now: float, pool_size: int
     ) -> Verdict | None:
         """Record one outcome; return a verdict if it changes the host's state.
 
         Parameters
         ----------
-        hosts : int
+        pool_size : int
             Number of hosts in the pool; it bounds how many may be ejected.
         """
-        health = self._hosts.setdefault(host, _HostHealth())
+        host_health = self._hosts.setdefault(host, _HostHealth())
         score = self._workloads.setdefault(workload, _Score())
         if succeeded:
-            health.blame *= DECAY
+            host_health.blame *= DECAY
         else:
-            health.blame += 1.0 - score.rate_without(host) * 2
-            health.blame = max(health.blame, 0.0)
-        health.score.add(workload, succeeded)
+            host_health.blame += 1.0 - score.failure_rate_without(host) * 2
+            host_health.blame = max(host_health.blame, 0.0)
+        host_health.score.add(workload, succeeded)
         score.add(host, succeeded)
-        if health.state == "probation":
-            return self._observe_probation(host, health, succeeded, now)
-        if succeeded or health.state != "good" or health.blame < EJECT_BLAME:
+        if host_health.state == "probation":
+            return self._observe_probation(host, host_health, succeeded, now)
+        if succeeded or host_health.state != "good" or host_health.blame < EJECT_BLAME:
             return None
-        if len(self._quarantined) + 1 > max(1, int(hosts * MAX_EJECTED_FRACTION)):
+        if len(self._quarantined) + 1 > max(1, int(pool_size * MAX_EJECTED_FRACTION)):
             return None
-        return self._eject(host, health, now)
+        return self._eject(host, host_health, now)
 
     def _observe_probation(
         self, host: str, health: _HostHealth, succeeded: bool, now: float
--- a/siskinroad/idempotency.py
+++ b/siskinroad/idempotency.py
@@ -1,4 +1,4 @@
-"""At-most-once execution of keyed requests, by intents stored before the send.
+"""At-most-once execution of keyed requests: an intent is stored before the send.
 
 An intent is valid only once the daemon has read it back from the log as the first
 for its key. A request with a stored intent but no outcome is never sent again, by
@@ -23,7 +23,7 @@
 INTENT_TIMEOUT = 2.0
 # Seconds that a repeated request waits for the first one's outcome.
 OUTCOME_TIMEOUT = 1.0
-# Seconds between two looks at the ledger during that wait.
+# Seconds between two reads of the ledger during that wait.
 OUTCOME_POLL_INTERVAL = 0.05
 # Most bytes of a response body that are stored with the outcome. A repeat of a request
 # with a larger response is refused instead of answered.
@@ -123,8 +123,8 @@
         try:
             answer = await send()
         except Refusal as exc:
-            not_run = exc.outcome is Outcome.NOT_RUN
-            self._record_outcome(name, NOT_RUN if not_run else UNKNOWN, None)
+            did_not_run = exc.outcome is Outcome.NOT_RUN
+            self._record_outcome(name, NOT_RUN if did_not_run else UNKNOWN, None)
             raise
         except BaseException:
             self._record_outcome(name, UNKNOWN, None)
--- a/siskinroad/ledger.py
+++ b/siskinroad/ledger.py
@@ -34,15 +34,16 @@
 # Jobs with every task ended that are kept for later status requests. The oldest are
 # removed once the table exceeds the limit by a tenth.
 MAX_FINISHED_JOBS = 1000
-# Keys with an outcome that are kept to answer repeated requests, with the same rule.
-# A key that has been removed could run a second time.
+# Keys with an outcome that are kept to answer repeated requests. The oldest are
+# removed as above. A request whose key has been removed could run a second time.
 MAX_FINISHED_KEYS = 5000
-# Replaced claims kept per shard; bounds the state and its snapshots.
+# Most replaced claims kept for a shard; it bounds the size of the state and of its
+# snapshots.
 MAX_REPLACED_CLAIMS = 16
 
 
 class Claim(msgspec.Struct):
-    """A claim on a shard; epochs order all claims."""
+    """Claim on a shard; epochs order all claims."""
 
     epoch: int
     daemon: str
@@ -51,7 +52,7 @@
 
 
 class JobState(msgspec.Struct):
-    """An accepted job and the outcomes of its ended tasks, by task index."""
+    """Accepted job and the outcomes of its ended tasks, by task index."""
 
     accepted: JobAccepted
     ended: dict[int, str] = {}
@@ -64,7 +65,7 @@
 
 
 class KeyState(msgspec.Struct):
-    """A keyed request: the intent in force, its offset and the outcome, if any."""
+    """Keyed request: the intent in force, its offset and the outcome, if any."""
 
     intent: IntentRecorded
     offset: int
@@ -218,8 +219,8 @@
         if data is None:
             return
         self.snapshot_as_of = max(self.snapshot_as_of, part.as_of)
-        covered = self._pending and self._pending[0][0] <= part.as_of
-        if not self.is_complete and covered:
+        is_covered = self._pending and self._pending[0][0] <= part.as_of
+        if not self.is_complete and is_covered:
             self._restore(data, part.as_of)
 
     def _restore(self, data: bytes, as_of: int) -> None:
--- a/siskinroad/limits.py
+++ b/siskinroad/limits.py
@@ -1,4 +1,4 @@
-"""Limits on the concurrency of hosts, on waiting work and on held bytes."""
+"""Limits on the concurrency of hosts, on the items of a shard and on held bytes."""
 
 from __future__ import annotations
 
@@ -9,14 +9,15 @@
 
 __all__ = ["AdmissionLimit", "ByteLimit", "ConcurrencyLimit", "Headroom", "Rate"]
 
-# Tasks by which a host's limit grows for each limit's worth of successes.
+# Tasks by which a host's limit grows after as many successes as the limit allows
+# tasks.
 INCREASE = 0.25
 # Factor by which a failure of the host lowers its limit.
 DECREASE_FACTOR = 0.7
 # Lowest limit, in tasks. A host with a lower one would get no work and never recover.
 MIN_LIMIT = 1.0
-# Minimum seconds between two decreases. One event fails many requests at once, and
-# with a smaller value it would lower the limit once for each of them.
+# Minimum seconds between two decreases. One event can fail many requests at
+# once, and with a smaller value it would lower the limit once for each of them.
 MIN_DECREASE_INTERVAL = 1.0
 
 # Half-life of the measured rates of arrivals and of ends, in seconds.
@@ -24,7 +25,7 @@
 # Half-life of the remembered peak of urgent arrivals, in seconds. With a smaller
 # value, no capacity is left for a burst that follows a quiet time.
 PEAK_HALF_LIFE = 300.0
-# Seconds of urgent arrivals that the headroom must hold.
+# Seconds of urgent arrivals for which the headroom must suffice.
 HEADROOM_WINDOW = 0.05
 # Safety margin of each class, in square roots of the expected arrivals.
 HEADROOM_MARGIN = {Urgency.STANDARD: 0.5, Urgency.BACKGROUND: 2.5}
@@ -55,17 +56,17 @@
     def record_success(self) -> int:
         """Record a success and return the new limit."""
         self.limit = min(self.limit + INCREASE / self.limit, float(self.slots))
-        return self.whole_tasks
+        return self.max_tasks
 
     def record_failure(self, now: float) -> int:
         """Record a failure of the host and return the new limit."""
         if now - self.lowered_at >= MIN_DECREASE_INTERVAL:
             self.limit = max(self.limit * DECREASE_FACTOR, MIN_LIMIT)
             self.lowered_at = now
-        return self.whole_tasks
+        return self.max_tasks
 
     @property
-    def whole_tasks(self) -> int:
+    def max_tasks(self) -> int:
         """Limit as a whole number of tasks."""
         return max(int(self.limit + 1e-9), 1)
 
@@ -114,7 +115,7 @@
         self.ends.count(now)
 
     def reserved_tasks(self, urgency: Urgency, now: float) -> int:
-        """Return the number of urgent tasks for which a class leaves capacity."""
+        """Return how many urgent tasks must still fit after a start of this class."""
         decay = 0.5 ** ((now - self.peak_at) / PEAK_HALF_LIFE)
         expected = self.peak * decay * HEADROOM_WINDOW
         if expected < NEGLIGIBLE_TASKS or urgency is Urgency.URGENT:
@@ -155,6 +156,6 @@
 
     limit: int = 100_000
 
-    def admits(self, waiting: int, urgency: Urgency) -> bool:
-        """Return whether one more item of the class is admitted."""
-        return waiting < self.limit * SHED_FRACTION[urgency]
+    def admits(self, item_count: int, urgency: Urgency) -> bool:
+        """Return whether the class may add an item to the ``item_count`` present."""
+        return item_count < self.limit * SHED_FRACTION[urgency]
--- a/siskinroad/membership.py
+++ b/siskinroad/membership.py
@@ -10,9 +10,9 @@
 
 # Seconds between two heartbeats to each daemon of the data centre.
 HEARTBEAT_INTERVAL = 0.5
-# Seconds without a heartbeat after which a member counts as dead. Three heartbeats
-# fit in, so that one or two lost ones do not make a live member look dead; a larger
-# value delays the replacement of a dead owner.
+# Seconds without a heartbeat after which a member counts as dead. The time-out spans
+# three heartbeats, so that one or two lost ones do not make a live member look dead; a
+# larger value delays the replacement of a dead owner.
 HEARTBEAT_TIMEOUT = 1.6
 # Seconds of uninterrupted heartbeats before a shard is handed over to a member.
 MIN_STABLE_TIME = 3.0
--- a/siskinroad/messages.py
+++ b/siskinroad/messages.py
@@ -34,10 +34,10 @@
 
 
 class ShardUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """An owner's update on one shard.
+    """Update by a shard's owner on its state.
 
-    ``free`` is the free capacity, ``waits`` the expected wait in seconds by
-    workload.
+    ``free`` is the number of free slots, ``waits`` the expected wait in seconds
+    by workload.
     """
 
     shard: str
@@ -133,7 +133,7 @@
 
 
 class RevisionOffer(msgspec.Struct, tag="offer", frozen=True):
-    """A complete revision of the cell file for a daemon that lacks it."""
+    """Complete revision of the cell file for a daemon that lacks it."""
 
     whole: RevisionText
 
@@ -153,7 +153,7 @@
 
 
 class Forward(msgspec.Struct, tag="fwd", frozen=True):
-    """A caller's request for a shard that the receiver owns.
+    """Request of a caller for a shard that the receiver owns.
 
     The sender repeats it until it is acknowledged or answered; the receiver runs each
     ``id`` once. If the receiver's incarnation is not ``incarnation``, it replies that
--- a/siskinroad/ownership.py
+++ b/siskinroad/ownership.py
@@ -67,14 +67,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Append:
-    """Append a record to the data centre's stream."""
+    """Append of a record to the data centre's stream."""
 
     record: Record
 
 
 @dataclass(slots=True, frozen=True)
 class TakeOverShard:
-    """Ask the shard's hosts which tasks they run, then start placing work."""
+    """Takeover: query the tasks that the shard's hosts run, then start placing work."""
 
     shard: str
     epoch: int
@@ -82,21 +82,21 @@
 
 @dataclass(slots=True, frozen=True)
 class SuspendShard:
-    """Start nothing new, as the claim may no longer be in force."""
+    """Suspension of all starts, as the claim may no longer be in force."""
 
     shard: str
 
 
 @dataclass(slots=True, frozen=True)
 class ResumeShard:
-    """Resume placing work, as the claim has been confirmed again."""
+    """Resumption of starts, as the claim has been confirmed again."""
 
     shard: str
 
 
 @dataclass(slots=True, frozen=True)
 class ReleaseShard:
-    """Start nothing new, wait for starts in progress, then append the release."""
+    """Release: stop starting work, wait for starts in progress, append the release."""
 
     shard: str
     epoch: int
@@ -104,7 +104,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DropShard:
-    """Start nothing and discard the shard's work, as another daemon holds it."""
+    """Discard of the shard's work without further starts, as its claim is lost."""
 
     shard: str
 
@@ -140,7 +140,7 @@
 
 
 class Ownership:
-    """State machine of one daemon's claims; it returns effects and does no I/O.
+    """State machine of one daemon's claims; it does no I/O.
 
     Parameters
     ----------
@@ -198,7 +198,7 @@
 
     def claimed_shards(self) -> list[str]:
         """Return the shards that this daemon has claimed or may have claimed."""
-        return [s for s, h in self.shard_claims.items() if h.state != "idle"]
+        return [s for s, claim in self.shard_claims.items() if claim.state != "idle"]
 
     def required_peers(self) -> list[str]:
         """Return the daemons whose statements a confirmation by peers needs."""
@@ -225,8 +225,10 @@
         Two owners cannot overload hosts that refuse lower epochs. On such hosts
         requests may be sent until the claim is known to be lost.
         """
-        fenced = self.shards.get(shard, False)
-        return self._holds_claim(shard) and (fenced or now < self.lease_until(shard))
+        refuses_lower_epochs = self.shards.get(shard, False)
+        return self._holds_claim(shard) and (
+            refuses_lower_epochs or now < self.lease_until(shard)
+        )
 
     def may_start_tasks(self, shard: str, now: float) -> bool:
         """Return whether tasks may be started at ``now``.
@@ -416,11 +418,11 @@
             return self._drop_lost_claim(shard, shard_claim, now)
         if self._should_release(shard, now):
             return self._release_shard(shard, shard_claim)
-        certain = now < self.lease_until(shard)
-        if not certain and shard_claim.state == "owning":
+        is_lease_valid = now < self.lease_until(shard)
+        if not is_lease_valid and shard_claim.state == "owning":
             self._transition(shard_claim, "doubt")
             return [SuspendShard(shard)]
-        if certain and shard_claim.state == "suspended":
+        if is_lease_valid and shard_claim.state == "suspended":
             self._transition(shard_claim, "renewed")
             return [ResumeShard(shard)]
         return []
--- a/siskinroad/placement.py
+++ b/siskinroad/placement.py
@@ -11,9 +11,9 @@
 
 # Levels into which the free processors and the free memory of hosts are divided.
 RESOURCE_LEVELS = 16
-# Most hosts that one search looks at; it bounds the time of a search.
+# Most hosts that one search visits; it bounds the time of a search.
 MAX_PROBES = 64
-# Fitting hosts after which a search stops; the best of them is taken.
+# Fitting hosts after which a search stops; the best of them is used.
 MAX_FITTING_HOSTS = 6
 # Most levels into which the free slots of hosts are divided; it bounds the memory of
 # an index of hosts with many slots.
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, eq=False)
 class HostView:
-    """Owner's view of one host.
+    """State of one host, as known to the daemon that owns its shard.
 
     Attributes
     ----------
@@ -36,7 +36,7 @@
         Concurrent tasks that are allowed now, at most the host's slots.
     tasks : dict of str to Resources
         Resources allocated to each task on the host.
-    members : dict of str to int
+    task_counts : dict of str to int
         Number of tasks on the host, by workload.
     levels : list of int
         Level in each row of the index; empty if the host is not indexed.
@@ -55,7 +55,7 @@
     limit: int = 0
     state: str = "unseen"
     tasks: dict[str, Resources] = field(default_factory=dict)
-    members: dict[str, int] = field(default_factory=dict)
+    task_counts: dict[str, int] = field(default_factory=dict)
     levels: list[int] = field(default_factory=list)
     is_counted: bool = False
 
@@ -77,16 +77,16 @@
         )
 
     def count_fitting(self, need: Resources) -> int:
-        """Return how many tasks that each take ``need`` fit on the host."""
+        """Return how many tasks fit on the host if each needs ``need``."""
         free_tasks = min(self.slots, self.limit - (self.capacity.slots - self.slots))
-        best = free_tasks // max(need.slots, 1)
+        count = free_tasks // max(need.slots, 1)
         if need.cpu_milli:
-            best = min(best, self.cpu // need.cpu_milli)
+            count = min(count, self.cpu // need.cpu_milli)
         if need.memory_mib:
-            best = min(best, self.memory // need.memory_mib)
+            count = min(count, self.memory // need.memory_mib)
         if need.accelerators:
-            best = min(best, self.accelerators // need.accelerators)
-        return max(best, 0)
+            count = min(count, self.accelerators // need.accelerators)
+        return max(count, 0)
 
     def used(self) -> Resources:
         """Return the allocated resources."""
@@ -121,7 +121,7 @@
             min(capacity.slots, MAX_SLOT_LEVELS),
         )
         self._rows: list[list[dict[str, HostView]]] = [
-            [{} for _ in range(level_counts + 1)] for level_counts in self._level_counts
+            [{} for _ in range(level_count + 1)] for level_count in self._level_counts
         ]
 
     def add(self, host: HostView) -> None:
@@ -172,14 +172,16 @@
         cap = self.capacity
         if need.accelerators:
             return self._rows[2], need.accelerators
-        parts = (
+        fractions = (
             need.cpu_milli / cap.cpu_milli,
             need.memory_mib / cap.memory_mib,
             0.0,
             need.slots / cap.slots,
         )
-        best = max(range(len(parts)), key=parts.__getitem__)
-        return self._rows[best], int(parts[best] * self._level_counts[best])
+        largest = max(range(len(fractions)), key=fractions.__getitem__)
+        return self._rows[largest], int(
+            fractions[largest] * self._level_counts[largest]
+        )
 
     def allocate(
         self, host: HostView, task: str, need: Resources, workload: str
@@ -187,17 +189,17 @@
         """Allocate ``need`` on a host to a task."""
         assert task not in host.tasks
         host.tasks[task] = need
-        host.members[workload] = host.members.get(workload, 0) + 1
+        host.task_counts[workload] = host.task_counts.get(workload, 0) + 1
         self._adjust(host, need, -1)
 
     def release(self, host: HostView, task: str, workload: str) -> None:
         """Release the resources of a task."""
         need = host.tasks.pop(task)
-        remaining = host.members[workload] - 1
+        remaining = host.task_counts[workload] - 1
         if remaining:
-            host.members[workload] = remaining
+            host.task_counts[workload] = remaining
         else:
-            del host.members[workload]
+            del host.task_counts[workload]
         self._adjust(host, need, 1)
 
     def resize(self, host: HostView, task: str, need: Resources) -> None:
@@ -228,7 +230,7 @@
         Parameters
         ----------
         need : Resources
-            Resources that the task takes.
+            Resources to allocate to the task.
         avoid : set of str
             Hosts on which the task failed.
         reserved : set of str
@@ -247,14 +249,14 @@
     ) -> HostView | None:
         """Return a fitting host from among those with the most free capacity.
 
-        Of the hosts found, one with the fewest tasks of the same workload is taken.
+        Of the hosts found, one with the fewest tasks of the same workload is used.
         """
         row, start = self._row_for(need)
         return self._search(
             row[start:][::-1],
             need,
             avoid | reserved,
-            lambda host: (host.members.get(workload, 0), -host.slots),
+            lambda host: (host.task_counts.get(workload, 0), -host.slots),
         )
 
     def _search(
@@ -284,9 +286,9 @@
     def place_gang(
         self, need: Resources, size: int, avoid: set[str], reserved: set[str]
     ) -> list[tuple[HostView, int]] | None:
-        """Return hosts for a gang of ``size`` tasks, each with its count, or None.
+        """Return the hosts for a gang and the number of its tasks on each, or None.
 
-        Hosts with the most free capacity are taken first. The remaining members go
+        Hosts with the most free capacity are used first. The remaining members go
         to the host with the least free capacity that fits them, so that few hosts
         stay partly free.
         """
@@ -300,8 +302,8 @@
             if fit_count <= 0:
                 continue
             if fit_count >= remaining:
-                taken = excluded | {view.name for view, _ in chosen}
-                best_fit_host = self.best_fit(need.times(remaining), taken, set())
+                unavailable = excluded | {view.name for view, _ in chosen}
+                best_fit_host = self.best_fit(need.times(remaining), unavailable, set())
                 chosen.append((best_fit_host or host, remaining))
                 return chosen
             chosen.append((host, fit_count))
--- a/siskinroad/preemption.py
+++ b/siskinroad/preemption.py
@@ -1,4 +1,4 @@
-"""Preemption: running work gives way to urgent work, fair shares or full hosts."""
+"""Preemption of running work, for urgent work, fair shares or hosts short of memory."""
 
 from __future__ import annotations
 
@@ -26,9 +26,10 @@
 # Evictions in progress in a pool at a time. A larger value interrupts more work than
 # the waiting work needs.
 MAX_EVICTIONS = 8
-# Latest evictable attempts that one search looks at; it bounds the time of a search.
+# Evictable attempts, latest first, that one search visits; it bounds the search time.
 MAX_SEARCHED_RUNS = 32
-# Seconds for which an owner must lack its fair share before it is reclaimed.
+# Seconds for which an owner must have less than its fair share before work of other
+# owners is evicted for it.
 RECLAIM_DELAY = 30.0
 # Difference from the fair share that is ignored, as a fraction of the total. Without
 # it, work would be evicted for rounding differences.
@@ -46,7 +47,7 @@
         self._closed_hosts: set[str] = set()
 
     def apply_usage(self, host: str, reports: list[UsageReport]) -> list[Effect]:
-        """Process a host's usage report, which lags, and react in steps.
+        """React to a host's usage report: close the host, throttle, checkpoint, stop.
 
         Parameters
         ----------
@@ -70,7 +71,7 @@
     def _grow_allocation(
         self, run: Running, member: int, view: HostView, usage: Usage
     ) -> None:
-        run.note_usage(member, usage)
+        run.record_peak_usage(member, usage)
         task = task_name(run.item.key, member)
         held = view.tasks[task]
         wanted = round(usage.memory_mib * GROWTH_MARGIN)
@@ -89,13 +90,13 @@
             effects += self._free_memory(view, Control.CHECKPOINT)
         return effects
 
-    def _set_closed(self, view: HostView, overloaded: bool) -> None:
-        if overloaded:
+    def _set_closed(self, view: HostView, is_overloaded: bool) -> None:
+        if is_overloaded:
             self._closed_hosts.add(view.name)
             view.limit = 0
         elif view.name in self._closed_hosts:
             self._closed_hosts.discard(view.name)
-            limit = self.shard.limits[view.name].whole_tasks
+            limit = self.shard.limits[view.name].max_tasks
             view.limit = 1 if view.state == "probation" else limit
 
     def _runs_on(self, view: HostView) -> list[Running]:
@@ -103,16 +104,16 @@
         runs = [self.shard.running[key] for key in keys if key in self.shard.running]
         return sorted(runs, key=lambda run: (-run.item.workload.urgency, -run.started))
 
-    def _throttle(self, view: HostView, overloaded: bool) -> list[Effect]:
+    def _throttle(self, view: HostView, is_overloaded: bool) -> list[Effect]:
         effects: list[Effect] = []
         for run in self._runs_on(view):
-            background = run.item.workload.urgency is Urgency.BACKGROUND
-            if run.item.workload.kind == "service" or run.is_throttled == overloaded:
+            is_background = run.item.workload.urgency is Urgency.BACKGROUND
+            if run.item.workload.kind == "service" or run.is_throttled == is_overloaded:
                 continue
-            if overloaded and not background:
+            if is_overloaded and not is_background:
                 continue
-            run.is_throttled = overloaded
-            action = Control.THROTTLE if overloaded else Control.RESUME
+            run.is_throttled = is_overloaded
+            action = Control.THROTTLE if is_overloaded else Control.RESUME
             effects += self.attempts.control(run, action)
         return effects
 
@@ -160,7 +161,7 @@
         return False
 
     def reclaim_shares(self, now: float) -> list[Effect]:
-        """Evict work to return lent shares to owners that have lacked them for long."""
+        """Evict work for owners that have had less than their fair share for long."""
         effects: list[Effect] = []
         for state in self.shard.pools.values():
             effects += self._reclaim_pool(state, now)
--- a/siskinroad/queues.py
+++ b/siskinroad/queues.py
@@ -26,14 +26,14 @@
 # Fewest waiting items for which a waiting time is forecast. With fewer, the forecast
 # would refuse items that could still start in time.
 MIN_FORECAST_ITEMS = 8
-# Lower bound of the observed fraction of the averaging window. Without it, the rate
-# of starts seen for an instant only would be scaled up without limit.
+# Lower bound of the observed fraction of the averaging window. Without it, a rate
+# measured over a very short time would be scaled up without limit.
 MIN_OBSERVED_FRACTION = 0.05
 
 
 @dataclass(slots=True, eq=False)
 class Item:
-    """Waiting or running request, batch task or gang.
+    """Request, batch task or gang that waits or runs.
 
     Attributes
     ----------
@@ -79,7 +79,7 @@
     Attributes
     ----------
     live : int
-        Number of items that still wait.
+        Number of waiting items, without those already cancelled.
     is_blocked : bool
         Whether the head did not fit when it was last tried.
     rate : float
@@ -111,12 +111,12 @@
         A background lane whose head has waited longer than ``AGING_TIME`` ranks
         with the standard lanes, so that it is not starved.
         """
-        own = self.workload.urgency
-        if own is not Urgency.BACKGROUND:
-            return own
+        declared = self.workload.urgency
+        if declared is not Urgency.BACKGROUND:
+            return declared
         head = self.head()
-        aged = head is not None and now - head.enqueued > AGING_TIME
-        return Urgency.STANDARD if aged else own
+        is_aged = head is not None and now - head.enqueued > AGING_TIME
+        return Urgency.STANDARD if is_aged else declared
 
     def count_start(self, now: float) -> None:
         """Add one start to the measured rate of starts."""
@@ -146,7 +146,9 @@
 
     def __init__(self) -> None:
         self.lanes: dict[str, Lane] = {}
-        self.active: dict[Urgency, dict[str, Lane]] = {u: {} for u in Urgency}
+        self.active: dict[Urgency, dict[str, Lane]] = {
+            urgency: {} for urgency in Urgency
+        }
         self._deadlines: list[tuple[float, int, Item]] = []
         self._sequence = 0
 
@@ -177,15 +179,15 @@
             heapq.heappush(self._deadlines, (item.deadline, self._sequence, item))
         return lane
 
-    def take(self, lane: Lane) -> Item:
-        """Remove and return the head of a lane that is not empty."""
+    def pop_head(self, lane: Lane) -> Item:
+        """Remove the head of a lane that is not empty, and return it."""
         item = lane.head()
         assert item is not None
         lane.items.popleft()
         self._count_removed(lane)
         return item
 
-    def drop(self, item: Item) -> None:
+    def stop_counting(self, item: Item) -> None:
         """Stop counting an item whose state is no longer ``waiting``."""
         self._count_removed(self.lanes[item.workload.name])
 
--- a/siskinroad/records.py
+++ b/siskinroad/records.py
@@ -35,7 +35,7 @@
 
 
 class CellRevision(msgspec.Struct, tag="cell", frozen=True):
-    """A new cell file as a delta; valid only if it replaces the one in force.
+    """New cell file as a delta; valid only if it replaces the one in force.
 
     ``digest`` is the digest of the complete text. ``key`` identifies the operator's
     request, so that a repeated one is recognised.
@@ -56,7 +56,7 @@
 
 
 class ClaimMade(msgspec.Struct, tag="claim", frozen=True):
-    """A daemon's claim on a shard; valid only if it replaces the one in force.
+    """Claim of a daemon on a shard; valid only if it replaces the one in force.
 
     ``replaces`` is the epoch of the claim in force, 0 if there is none.
     """
@@ -75,7 +75,7 @@
 
 
 class JobAccepted(msgspec.Struct, tag="job", frozen=True):
-    """An accepted batch job or gang, owned by one home shard.
+    """Accepted batch job or gang, owned by one home shard.
 
     ``epoch`` is that of the claim on the home shard as known to the writer, 0 if
     unknown.
--- a/siskinroad/resources.py
+++ b/siskinroad/resources.py
@@ -74,19 +74,19 @@
         )
 
     def dominant(self, total: Resources) -> float:
-        """Return the largest fraction of ``total`` over the billed dimensions.
+        """Return the largest fraction of ``total`` among the billed dimensions.
 
         Slots are a limit of the host's software and are not billed.
         """
         return max(
-            _share(self.cpu_milli, total.cpu_milli),
-            _share(self.memory_mib, total.memory_mib),
-            _share(self.accelerators, total.accelerators),
+            _fraction(self.cpu_milli, total.cpu_milli),
+            _fraction(self.memory_mib, total.memory_mib),
+            _fraction(self.accelerators, total.accelerators),
         )
 
 
-def _share(part: int, whole: int) -> float:
-    return part / whole if whole else 0.0
+def _fraction(part: int, total: int) -> float:
+    return part / total if total else 0.0
 
 
 NOTHING = Resources()
--- a/siskinroad/retries.py
+++ b/siskinroad/retries.py
@@ -1,4 +1,4 @@
-"""Retry policy for requests: whether a failed try is repeated, and when."""
+"""Retry policy of requests: whether a failed request is tried again, and when."""
 
 from __future__ import annotations
 
@@ -52,11 +52,11 @@
 
     tokens: float = INITIAL_BUDGET
 
-    def earn(self) -> None:
-        """Add what one first try earns."""
+    def earn_retry(self) -> None:
+        """Add the fraction of a retry that one first try earns."""
         self.tokens = min(self.tokens + BUDGET_PER_TRY, MAX_BUDGET)
 
-    def spend(self) -> bool:
+    def spend_retry(self) -> bool:
         """Take one retry from the budget; return whether there was one."""
         if self.tokens < 1.0:
             return False
@@ -89,7 +89,7 @@
     outcome = Outcome.UNKNOWN if may_have_run else Outcome.NOT_RUN
     if tries > workload.retries:
         return _refuse(Reason.RETRIES_EXHAUSTED, outcome)
-    if failure is not Failure.NOT_SENT and not budget.spend():
+    if failure is not Failure.NOT_SENT and not budget.spend_retry():
         return _refuse(Reason.RETRIES_EXHAUSTED, outcome)
     max_delay = min(FIRST_BACKOFF * 2 ** (tries - 1), MAX_BACKOFF)
     return Retry(rng.uniform(max_delay / 2, max_delay))
--- a/siskinroad/scheduler.py
+++ b/siskinroad/scheduler.py
@@ -92,7 +92,7 @@
         if view.state == before:
             return []
         view.is_open = view.state in ("live", "probation")
-        limit = self.shard.limits[name].whole_tasks
+        limit = self.shard.limits[name].max_tasks
         view.limit = 1 if view.state == "probation" else limit
         self.shard.pool_state(name).index.refresh(view)
         self.shard.update_capacity(now)
@@ -129,7 +129,7 @@
             item.state = self._chart.next_state(item.state, "refuse")
             return [Refused(item, refusal)]
         if item.workload.kind == "service":
-            self.shard.budget(item.workload.owner).earn()
+            self.shard.budget(item.workload.owner).earn_retry()
         return self.requeue(item, now)
 
     def requeue(self, item: Item, now: float) -> list[Effect]:
@@ -173,16 +173,18 @@
             return f"no host of {workload.pool} belongs to this shard"
         if not workload.demand.fits(state.pool.capacity):
             return f"one task needs more than a whole host of {workload.pool}"
-        per_host = HostView("", "", state.pool.capacity).count_fitting(workload.demand)
-        max_members = per_host * len(state.index.hosts)
+        tasks_per_host = HostView("", "", state.pool.capacity).count_fitting(
+            workload.demand
+        )
+        max_members = tasks_per_host * len(state.index.hosts)
         if workload.size > max_members:
             return (
                 f"{workload.size} members requested, capacity for at most {max_members}"
             )
-        whole = workload.demand.times(workload.size)
+        total_demand = workload.demand.times(workload.size)
         quota = self.shard.cell.owners[workload.owner].quota
-        for part in ("cpu_milli", "memory_mib", "accelerators"):
-            if 0 < getattr(quota, part) < getattr(whole, part):
+        for dimension in ("cpu_milli", "memory_mib", "accelerators"):
+            if 0 < getattr(quota, dimension) < getattr(total_demand, dimension):
                 return f"the demand exceeds the quota of {workload.owner}"
         return ""
 
@@ -210,7 +212,7 @@
         if is_backing_off:
             self.attempts.drop_backing_off(item)
         else:
-            self.shard.waiting.drop(item)
+            self.shard.waiting.stop_counting(item)
         return Refused(item, refusal)
 
     # Attempts
@@ -254,7 +256,7 @@
     def apply_usage(
         self, host: str, reports: list[UsageReport], now: float
     ) -> list[Effect]:
-        """Process a host's usage report, which lags behind the actual usage."""
+        """React to a host's usage report, which lags behind the actual usage."""
         effects = self.preemption.apply_usage(host, reports)
         view = self.shard.view(host)
         return effects + (self._use_free_capacity(view, now) if view else [])
@@ -283,7 +285,7 @@
         return effects + self.preemption.reclaim_shares(now)
 
     def next_tick_time(self) -> float:
-        """Return the loop time of the next deadline or end of a backoff."""
+        """Return the loop time of the earliest deadline or end of a backoff."""
         deadline = self.shard.waiting.next_deadline()
         return min(deadline, self.attempts.next_backoff_end(), math.inf)
 
@@ -306,7 +308,7 @@
     def _use_free_capacity(self, view: HostView, now: float) -> list[Effect]:
         if self.is_paused:
             return []
-        filled = list(self.dispatcher.fill(view, now)) if view.is_open else []
+        filled = list(self.dispatcher.fill_host(view, now)) if view.is_open else []
         return filled + self._dispatch(now)
 
     def _dispatch(self, now: float) -> list[Effect]:
--- a/siskinroad/shard.py
+++ b/siskinroad/shard.py
@@ -54,8 +54,8 @@
     is_evicting: bool = False
     is_stopping: bool = False
 
-    def note_usage(self, member: int, usage: Usage) -> None:
-        """Raise the peak usage of a member to at least the reported usage."""
+    def record_peak_usage(self, member: int, usage: Usage) -> None:
+        """Raise a member's peak usage to the reported usage where that is higher."""
         peak = self.peak.get(member, Usage())
         self.peak[member] = Usage(
             max(peak.cpu_milli, usage.cpu_milli),
@@ -72,7 +72,7 @@
     urgent_need : Resources
         Largest demand of the urgent workloads, in each dimension.
     evictable : dict of str to Running
-        Background attempts that can be checkpointed, by item.
+        Background attempts that can be checkpointed, by key of the item.
     eviction_count : int
         Evictions in progress.
     last_planned : float
@@ -149,7 +149,7 @@
         self.update_capacity(now)
 
     def remove_host(self, name: str, now: float) -> None:
-        """Remove a host that runs no task."""
+        """Remove a host on which no task runs."""
         self.pools[self.pool_of.pop(name)].index.remove(name)
         self.health.remove_host(name)
         del self.limits[name]
@@ -170,7 +170,7 @@
         return self.pools[self.pool_of[host]]
 
     def update_capacity(self, now: float) -> None:
-        """Recompute the total capacity of which shares are computed."""
+        """Recompute the total capacity that shares are fractions of."""
         total = NOTHING
         for view in self.views():
             if view.state != "gone":
@@ -188,8 +188,8 @@
         sign : int
             1 to add, -1 to subtract.
         """
-        self.shares.change(workload.owner, held, sign, now)
-        self.accounts.change(workload.owner, held, sign, milliseconds(now))
+        self.shares.change_allocation(workload.owner, held, sign, now)
+        self.accounts.change_allocation(workload.owner, held, sign, milliseconds(now))
 
     def urgent_lanes(self, pool: str) -> Iterator[Lane]:
         """Yield the lanes of urgent work that waits for a pool."""
--- a/siskinroad/shares.py
+++ b/siskinroad/shares.py
@@ -9,7 +9,7 @@
 
 __all__ = ["Shares"]
 
-# Seconds of future use that count towards an owner's rank at its present allocation.
+# Seconds of future use, at the present allocation, that count towards an owner's rank.
 # With a smaller value, one owner could start many tasks before its rank rises.
 LOOK_AHEAD = 20.0
 # Time constant of the decay of past use, in seconds. With a smaller value, an owner
@@ -22,8 +22,8 @@
     owner: Owner
     held: Resources = NOTHING
     share: float = 0.0
-    served: float = 0.0
-    since: float = 0.0
+    decayed_use: float = 0.0
+    accrued_until: float = 0.0
 
 
 class Shares:
@@ -48,14 +48,16 @@
                 self._accounts[name] = _Account(owner)
 
     def set_total(self, total: Resources, now: float) -> None:
-        """Set the total capacity of which shares are computed."""
+        """Set the total capacity that shares are fractions of."""
         for account in self._accounts.values():
             self._accrue(account, now)
         self.total = total
         for account in self._accounts.values():
             account.share = account.held.dominant(total)
 
-    def change(self, name: str, held: Resources, sign: int, now: float) -> None:
+    def change_allocation(
+        self, name: str, held: Resources, sign: int, now: float
+    ) -> None:
         """Add resources to an owner's allocation (sign 1) or subtract them (-1)."""
         account = self._account(name)
         self._accrue(account, now)
@@ -70,7 +72,7 @@
         """Return an owner's rank; the lowest goes first."""
         account = self._account(name)
         self._accrue(account, now)
-        return (account.served + account.share * LOOK_AHEAD) / account.owner.weight
+        return (account.decayed_use + account.share * LOOK_AHEAD) / account.owner.weight
 
     def within_quota(self, name: str, need: Resources) -> bool:
         """Return whether an owner's quota allows another ``need``."""
@@ -100,13 +102,13 @@
         return account
 
     def _accrue(self, account: _Account, now: float) -> None:
-        passed = now - account.since
-        if passed <= 0:
+        elapsed = now - account.accrued_until
+        if elapsed <= 0:
             return
-        retained = max(0.0, 1.0 - passed / DECAY_TIME)
-        account.served = account.served * retained + account.share * passed
-        account.since = now
+        retained = max(0.0, 1.0 - elapsed / DECAY_TIME)
+        account.decayed_use = account.decayed_use * retained + account.share * elapsed
+        account.accrued_until = now
 
 
-def _is_within(value: int, quota: int) -> bool:
-    return quota == 0 or value <= quota
+def _is_within(amount: int, quota: int) -> bool:
+    return quota == 0 or amount <= quota
--- a/siskinroad/suspend_detector.py
+++ b/siskinroad/suspend_detector.py
@@ -12,7 +12,7 @@
 
 
 class SuspendDetector:
-    """Detector that compares a clock stopped by suspension with one that is not."""
+    """Detector that compares a clock that suspension stops with one that runs on."""
 
     def __init__(self) -> None:
         self._offset = self._read_offset()
--- a/tests/test_accounts.py
+++ b/tests/test_accounts.py
@@ -30,10 +30,10 @@
         now += passed
         if adds and sum(held.values()) < 7:
             held[name] += 1
-            accounts.change(name, member, 1, now)
+            accounts.change_allocation(name, member, 1, now)
         elif not adds and held[name]:
             held[name] -= 1
-            accounts.change(name, member, -1, now)
+            accounts.change_allocation(name, member, -1, now)
         accounts.tick(now)
     accounts.apportion_span(now)
     totals = accounts.totals()
--- a/tests/test_cell.py
+++ b/tests/test_cell.py
@@ -69,10 +69,10 @@
 def test_a_randomly_edited_cell_file_is_valid_or_rejected(data):
     text = small_cell()
     for _ in range(data.draw(st.integers(1, 4))):
-        at = data.draw(st.integers(0, len(text)))
-        removed = data.draw(st.integers(0, 12))
+        position = data.draw(st.integers(0, len(text)))
+        removed_count = data.draw(st.integers(0, 12))
         inserted = data.draw(st.text(string.printable, max_size=6))
-        text = text[:at] + inserted + text[at + removed :]
+        text = text[:position] + inserted + text[position + removed_count :]
     try:
         assert isinstance(parse_cell(text), Cell)
     except ConfigError as exc:
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -6,13 +6,13 @@
     limit = ConcurrencyLimit(8)
     for _ in range(8):
         limit.record_failure(10.0)
-    assert limit.whole_tasks == 5
+    assert limit.max_tasks == 5
     for second in range(11, 30):
         limit.record_failure(float(second))
-    assert limit.whole_tasks == 1
+    assert limit.max_tasks == 1
     for _ in range(200):
         limit.record_success()
-    assert limit.whole_tasks == 8
+    assert limit.max_tasks == 8
 
 
 def test_the_least_urgent_is_shed_first():
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -208,8 +208,10 @@
         name = rng.choice(["plain", "paper", "quote"])
         scheduler.submit(item(scheduler, name, f"{name}/{i}", now), now)
         for key, run in list(scheduler.shard.running.items()):
-            bad = run.hosts[0] == "h0" or key.startswith("paper")
-            scheduler.record_attempt_end(key, 0, End.FAILED if bad else End.DONE, now)
+            is_failure = run.hosts[0] == "h0" or key.startswith("paper")
+            scheduler.record_attempt_end(
+                key, 0, End.FAILED if is_failure else End.DONE, now
+            )
     states = {view.name: view.state for view in scheduler.shard.views()}
     assert states["h0"] == "ejected"
     assert {states[f"h{i}"] for i in (1, 2, 3)} == {"live"}
@@ -317,7 +319,7 @@
     [state] = scheduler.shard.pools.values()
     assert "paper/0" in state.reservations
     head = scheduler.shard.items["paper/0"]
-    scheduler.shard.waiting.take(scheduler.shard.waiting.lane(head.workload))
+    scheduler.shard.waiting.pop_head(scheduler.shard.waiting.lane(head.workload))
     scheduler.shard.waiting.push(head)
     for key in list(scheduler.shard.running):
         scheduler.record_attempt_end(key, 0, End.DONE, 4.0, 4.0, Usage(2000, 8192))
