--- a/siskinroad/accounts.py
+++ b/siskinroad/accounts.py
@@ -80,16 +80,16 @@
 @dataclass(slots=True)
 class _Meter:
     held: Resources = NOTHING
-    since: int = 0
+    accumulated_until: int = 0
     total: list[int] = field(default_factory=lambda: [0] * DIMENSIONS)
 
     def accumulate(self, now: int) -> None:
-        elapsed_ms = now - self.since
+        elapsed_ms = now - self.accumulated_until
         if elapsed_ms > 0:
             self.total[0] += self.held.cpu_milli * elapsed_ms
             self.total[1] += self.held.memory_mib * elapsed_ms
             self.total[2] += self.held.accelerators * elapsed_ms
-            self.since = now
+            self.accumulated_until = now
 
     def pop_total(self, now: int) -> list[int]:
         self.accumulate(now)
@@ -105,7 +105,7 @@
 
     def __init__(self, owners: dict[str, Owner], now: int) -> None:
         self.owners = dict(owners)
-        self._capacity = _Meter(since=now)
+        self._capacity = _Meter(accumulated_until=now)
         self._meters: dict[str, _Meter] = {}
         self._apportioned_until = now
         self.hours: dict[int, dict[str, OwnerSpan]] = {}
@@ -127,7 +127,7 @@
         """Add resources to an owner's allocation (sign 1) or subtract them (-1)."""
         meter = self._meters.get(owner)
         if meter is None:
-            meter = self._meters[owner] = _Meter(since=now)
+            meter = self._meters[owner] = _Meter(accumulated_until=now)
         meter.accumulate(now)
         meter.held = meter.held + held if sign > 0 else meter.held - held
 
--- a/siskinroad/attempts.py
+++ b/siskinroad/attempts.py
@@ -26,7 +26,10 @@
 # the backoff of a batch task or gang.
 MAX_NOT_SENT = 10
 
+# Rank of each end in the order of ``End``. The end of highest rank among the members
+# of an attempt is that of the attempt.
 SEVERITY = {end: rank for rank, end in enumerate(End)}
+# Kind of failure on which the retry of a request is decided.
 FAILURE_OF_END = {
     End.NOT_SENT: Failure.NOT_SENT,
     End.REJECTED: Failure.REJECTED,
@@ -34,6 +37,7 @@
     End.FAILED: Failure.FAILED,
     End.UNKNOWN: Failure.UNKNOWN,
 }
+# Ends that count as a success or a failure of the host.
 HEALTH_ENDS = (End.DONE, End.FAILED, End.UNKNOWN)
 
 
@@ -77,7 +81,7 @@
         run.known_members.add(member)
         index = self.shard.pools[workload.pool].index
         index.allocate(view, task_name(run.item.key, member), held, workload.name)
-        self.shard.charge(workload, run.held, 1, now)
+        self.shard.change_allocations(workload, run.held, 1, now)
 
     def adopt(self, item: Item, name: AttemptName, host: str, now: float) -> bool:
         """Adopt a task that already runs on a host; return whether that succeeded."""
@@ -86,7 +90,7 @@
         if view is None or (run is not None and run.attempt != name.run):
             return False
         if run is None:
-            held = self.shard.estimates.reserve(item.workload, view.capacity)
+            held = self.shard.estimates.allocation(item.workload, view.capacity)
             expected_end = now + self.shard.estimates.run_time(item.workload)
             run = Running(item, name.run, {}, held, now, expected_end)
             item.state = "running"
@@ -154,7 +158,7 @@
             if end in (End.FAILED, End.UNKNOWN, End.REJECTED):
                 run.item.avoid.add(view.name)
         if not run.hosts:
-            effects += self._conclude(run, now)
+            effects += self._end_run(run, now)
         return view, effects
 
     def _stop_others(self, run: Running, end: End) -> list[Effect]:
@@ -176,7 +180,7 @@
         workload = run.item.workload
         index = self.shard.pools[self.shard.pool_of[view.name]].index
         index.release(view, task_name(run.item.key, member), workload.name)
-        self.shard.charge(workload, run.held, -1, now)
+        self.shard.change_allocations(workload, run.held, -1, now)
         return view
 
     def _record_outcome(
@@ -214,16 +218,16 @@
             limit.record_failure(now)
         view.limit = 1 if view.state == "probation" else limit.max_tasks
 
-    def _conclude(self, run: Running, now: float) -> list[Effect]:
+    def _end_run(self, run: Running, now: float) -> list[Effect]:
         item = run.item
         state = self.shard.pools[item.workload.pool]
         self._remove_run(run, state, now)
         if item.state == "stopping":
             is_done = run.worst_end is End.DONE
-            return self._finish(item, End.DONE if is_done else End.STOPPED)
+            return self._end_item(item, End.DONE if is_done else End.STOPPED)
         match run.worst_end:
             case End.DONE:
-                return self._finish(item, End.DONE)
+                return self._end_item(item, End.DONE)
             case End.CHECKPOINTED | End.STOPPED:
                 return self.requeue(item, front=True)
             case End.LOST if item.workload.kind != "service":
@@ -239,7 +243,7 @@
         if run.is_evicting:
             state.eviction_count -= 1
 
-    def _finish(self, item: Item, end: End) -> list[Effect]:
+    def _end_item(self, item: Item, end: End) -> list[Effect]:
         states = {End.DONE: "succeeded", End.STOPPED: "cancelled", End.FAILED: "lost"}
         item.state = states[end]
         del self.shard.items[item.key]
@@ -264,7 +268,7 @@
 
     def _retry_task(self, item: Item, worst_end: End, now: float) -> list[Effect]:
         if worst_end is End.FAILED and item.tries > item.workload.retries:
-            return self._finish(item, End.FAILED)
+            return self._end_item(item, End.FAILED)
         exponent = min(item.tries, MAX_NOT_SENT)
         delay = min(FIRST_BACKOFF * 2**exponent, MAX_BACKOFF)
         return self._back_off(item, now + delay)
--- a/siskinroad/cell.py
+++ b/siskinroad/cell.py
@@ -309,15 +309,15 @@
     _check_references(data, reader)
     if reader.problems:
         raise ConfigError(source, reader.problems)
-    return _build(data, text)
+    return _build_cell(data, text)
 
 
-def _check_unique(reader: Reader, places: Iterator[tuple[str, str]]) -> None:
+def _check_unique(reader: Reader, paths: Iterator[tuple[str, str]]) -> None:
     seen: dict[str, str] = {}
-    for place, name in places:
+    for path, name in paths:
         if name in seen:
-            reader.add_problem(place, name, f"a value not used by {seen[name]}")
-        seen.setdefault(name, place)
+            reader.add_problem(path, name, f"a value not used by {seen[name]}")
+        seen.setdefault(name, path)
 
 
 def _entry_names(data: dict[str, Any], *keys: str) -> Iterator[tuple[str, str]]:
@@ -351,9 +351,9 @@
     owners = {entry["name"] for entry in data["owners"]}
     pools = {entry["name"] for entry in data["upstreams"]}
     data_centres = {name for _, name in _data_centres(data)}
-    for place, name in _host_fields(data, "data_centre"):
+    for path, name in _host_fields(data, "data_centre"):
         if name not in data_centres:
-            reader.add_problem(place, name, "a data centre listed under regions")
+            reader.add_problem(path, name, "a data centre listed under regions")
     for key in ("services", "batch", "gangs"):
         for i, entry in enumerate(data[key]):
             if entry["owner"] not in owners:
@@ -367,7 +367,7 @@
                 reader.add_problem(f"{key}[{i}].upstream", entry["upstream"], allowed)
 
 
-def _resources(data: dict[str, Any], slots: int) -> Resources:
+def _build_resources(data: dict[str, Any], slots: int) -> Resources:
     return Resources(
         round(data["cpu"] * 1000),
         round(data["memory_gib"] * MIB_PER_GIB),
@@ -376,27 +376,27 @@
     )
 
 
-def _build(data: dict[str, Any], text: str) -> Cell:
+def _build_cell(data: dict[str, Any], text: str) -> Cell:
     workloads = {}
     for kind, key in (("service", "services"), ("batch", "batch"), ("gang", "gangs")):
         for entry in data[key]:
-            workloads[entry["name"]] = _workload(kind, entry)
+            workloads[entry["name"]] = _build_workload(kind, entry)
     return Cell(
         data["name"],
-        {entry["name"]: _owner(entry) for entry in data["owners"]},
+        {entry["name"]: _build_owner(entry) for entry in data["owners"]},
         {name: r["name"] for r in data["regions"] for name in r["data_centres"]},
-        {entry["name"]: _pool(entry) for entry in data["upstreams"]},
+        {entry["name"]: _build_pool(entry) for entry in data["upstreams"]},
         workloads,
         text,
     )
 
 
-def _owner(entry: dict[str, Any]) -> Owner:
-    quota = _resources(entry["quota"], 0)
+def _build_owner(entry: dict[str, Any]) -> Owner:
+    quota = _build_resources(entry["quota"], 0)
     return Owner(entry["name"], entry["weight"], entry["idle_weight"], quota)
 
 
-def _pool(entry: dict[str, Any]) -> Pool:
+def _build_pool(entry: dict[str, Any]) -> Pool:
     name = entry["name"]
     hosts = tuple(
         Host(
@@ -411,7 +411,7 @@
     )
     return Pool(
         name,
-        _resources(entry, entry["slots"]),
+        _build_resources(entry, entry["slots"]),
         entry["connections"],
         entry["shards"],
         entry["fencing"],
@@ -419,14 +419,14 @@
     )
 
 
-def _workload(kind: str, entry: dict[str, Any]) -> Workload:
+def _build_workload(kind: str, entry: dict[str, Any]) -> Workload:
     return Workload(
         name=entry["name"],
         kind=kind,
         owner=entry["owner"],
         pool=entry["upstream"],
         urgency=Urgency(URGENCY_NAMES.index(entry["urgency"])),
-        demand=_resources(entry["demand"], 1),
+        demand=_build_resources(entry["demand"], 1),
         start_within=entry["start_within_s"],
         queue_limit=entry["queue_limit"],
         retries=entry["retries"],
--- a/siskinroad/configuration.py
+++ b/siskinroad/configuration.py
@@ -82,7 +82,7 @@
                 case CellRevision():
                     has_changed |= self._apply_revision(record)
                 case SnapshotPart():
-                    has_changed |= self._apply_part(record)
+                    has_changed |= self._apply_snapshot_part(record)
         self.next_offset = offset + 1
         return has_changed
 
@@ -116,12 +116,12 @@
         """
         moved_names = moved_hosts(self.cell, cell) if self.cell is not None else []
         if moved_names:
-            allowed = "its old rack, data centre and upstream, or another name"
+            allowed = "its present rack, data centre and upstream, or another name"
             raise ConfigError(
                 "cell", [Problem("hosts", x, allowed) for x in moved_names]
             )
 
-    def _apply_part(self, part: SnapshotPart) -> bool:
+    def _apply_snapshot_part(self, part: SnapshotPart) -> bool:
         data = self._assembler.add(part)
         if data is None:
             return False
--- a/siskinroad/estimates.py
+++ b/siskinroad/estimates.py
@@ -82,7 +82,7 @@
     memory: Histogram = field(default_factory=Histogram)
     run_time: Histogram = field(default_factory=Histogram)
     declared: Resources | None = None
-    reserve: Resources | None = None
+    allocation: Resources | None = None
     run_time_s: float | None = None
 
 
@@ -103,7 +103,7 @@
         stats.run_time.add(run_time)
         stats.cpu.add(max(cpu_milli, 1))
         stats.memory.add(max(memory_mib, 1))
-        stats.reserve = None
+        stats.allocation = None
         stats.run_time_s = None
 
     def is_known(self, workload: Workload) -> bool:
@@ -111,7 +111,7 @@
         stats = self._stats.get(workload.name)
         return stats is not None and stats.memory.weight >= MIN_SAMPLES
 
-    def reserve(self, workload: Workload, capacity: Resources) -> Resources:
+    def allocation(self, workload: Workload, capacity: Resources) -> Resources:
         """Return the resources to allocate to one task on a host of ``capacity``.
 
         Requests get what their workload declares. A task of a workload without
@@ -122,10 +122,10 @@
         stats = self._stats.get(workload.name)
         if stats is None:
             stats = self._stats[workload.name] = _WorkloadStatistics()
-        if stats.reserve is None or stats.declared is not workload.demand:
+        if stats.allocation is None or stats.declared is not workload.demand:
             stats.declared = workload.demand
-            stats.reserve = _compute_reserve(workload.demand, stats, capacity)
-        return stats.reserve
+            stats.allocation = _compute_allocation(workload.demand, stats, capacity)
+        return stats.allocation
 
     def run_time(self, workload: Workload) -> float:
         """Return the expected run time in seconds: the median, once it is known."""
@@ -139,7 +139,7 @@
         return stats.run_time_s
 
 
-def _compute_reserve(
+def _compute_allocation(
     demand: Resources, stats: _WorkloadStatistics, capacity: Resources
 ) -> Resources:
     if stats.memory.weight < MIN_SAMPLES:
--- a/siskinroad/ledger.py
+++ b/siskinroad/ledger.py
@@ -133,7 +133,7 @@
         for index, record in enumerate(records):
             match record:
                 case SnapshotPart():
-                    self._apply_part(record)
+                    self._apply_snapshot_part(record)
                 case _ if self.is_complete:
                     self._apply_record(offset, index, record)
         self.next_offset = offset + 1
@@ -214,7 +214,7 @@
         )
         return msgspec.msgpack.encode(saved)
 
-    def _apply_part(self, part: SnapshotPart) -> None:
+    def _apply_snapshot_part(self, part: SnapshotPart) -> None:
         data = self._assembler.add(part)
         if data is None:
             return
--- a/siskinroad/limits.py
+++ b/siskinroad/limits.py
@@ -77,16 +77,16 @@
 
     half_life: float
     value: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
     def count(self, now: float) -> None:
         """Record one event."""
         self.value = self.current(now) + math.log(2) / self.half_life
-        self.at = now
+        self.updated_at = now
 
     def current(self, now: float) -> float:
         """Return the rate, decayed to ``now``."""
-        return self.value * 0.5 ** ((now - self.at) / self.half_life)
+        return self.value * 0.5 ** ((now - self.updated_at) / self.half_life)
 
 
 @dataclass(slots=True)
--- a/siskinroad/load_reports.py
+++ b/siskinroad/load_reports.py
@@ -1,4 +1,4 @@
-"""Load of the shards that other daemons own, here and in other data centres."""
+"""Load of the shards that other daemons own, in this and other data centres."""
 
 from __future__ import annotations
 
@@ -44,7 +44,9 @@
         for update in msg.shards:
             owner, incarnation = msg.owners.get(update.shard, ("", 0))
             self.incarnations[owner] = incarnation
-            self.remote_loads[update.shard] = _shard_load(update, owner, place, now)
+            self.remote_loads[update.shard] = _make_shard_load(
+                update, owner, place, now
+            )
         return True
 
     def local_loads(self, now: float) -> dict[str, ShardLoad]:
@@ -55,7 +57,7 @@
             for update in member.shards:
                 if update.epoch > epochs.get(update.shard, -1):
                     epochs[update.shard] = update.epoch
-                    load = _shard_load(
+                    load = _make_shard_load(
                         update, member.name, self.place, member.last_heartbeat
                     )
                     loads[update.shard] = load
@@ -67,7 +69,7 @@
         return member.incarnation if member else self.incarnations.get(name, 0)
 
 
-def _shard_load(
+def _make_shard_load(
     update: ShardUpdate, owner: str, place: Place, received_at: float
 ) -> ShardLoad:
     pool = update.shard.partition("/")[0]
--- a/siskinroad/names.py
+++ b/siskinroad/names.py
@@ -22,7 +22,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptName:
-    """Parsed name of a member's attempt; ``run`` is ``KEY#TRY``."""
+    """Parsed name of a member's attempt: ``run`` is ``KEY#TRY``, ``number`` ``TRY``."""
 
     key: str
     run: str
--- a/siskinroad/preemption.py
+++ b/siskinroad/preemption.py
@@ -174,14 +174,14 @@
                 del state.underserved_since[owner]
         for owner in sorted(underserved):
             state.underserved_since.setdefault(owner, now)
-        due = [
+        due_owners = [
             o
             for o, since in state.underserved_since.items()
             if now - since > RECLAIM_DELAY
         ]
-        if not due or state.eviction_count >= MAX_EVICTIONS:
+        if not due_owners or state.eviction_count >= MAX_EVICTIONS:
             return []
-        victim = self._find_most_over_share(state, set(due))
+        victim = self._find_most_over_share(state, set(due_owners))
         return self._evict(victim, Control.CHECKPOINT) if victim else []
 
     def _find_underserved(self, state: PoolState) -> set[str]:
@@ -195,18 +195,21 @@
         return {
             owner
             for owner in waiting
-            if shares.share(owner) + SHARE_TOLERANCE < shares.fair_share(owner, waiting)
+            if shares.dominant_share(owner) + SHARE_TOLERANCE
+            < shares.fair_share(owner, waiting)
         }
 
-    def _find_most_over_share(self, state: PoolState, due: set[str]) -> Running | None:
+    def _find_most_over_share(
+        self, state: PoolState, due_owners: set[str]
+    ) -> Running | None:
         shares = self.shard.shares
-        best: Running | None = None
-        best_excess = SHARE_TOLERANCE
+        victim: Running | None = None
+        victim_excess = SHARE_TOLERANCE
         for run in list(reversed(state.evictable.values()))[:MAX_SEARCHED_RUNS]:
             owner = run.item.workload.owner
-            if run.is_evicting or owner in due:
+            if run.is_evicting or owner in due_owners:
                 continue
-            excess = shares.share(owner) - shares.fair_share(owner, due)
-            if excess > best_excess:
-                best, best_excess = run, excess
-        return best
+            excess = shares.dominant_share(owner) - shares.fair_share(owner, due_owners)
+            if excess > victim_excess:
+                victim, victim_excess = run, excess
+        return victim
--- a/siskinroad/routing.py
+++ b/siskinroad/routing.py
@@ -83,7 +83,7 @@
             continue
         if load.shard in tried or _is_stale(load, distance, now):
             continue
-        cost = _cost(workload, load, distance)
+        cost = _routing_cost(workload, load, distance)
         if cost < best_cost - 1e-9:
             best, best_cost = [load], cost
         elif cost <= best_cost + 1e-9:
@@ -101,7 +101,7 @@
     return now - load.received_at > limit
 
 
-def _cost(workload: Workload, load: ShardLoad, distance: Locality) -> float:
+def _routing_cost(workload: Workload, load: ShardLoad, distance: Locality) -> float:
     wait = load.waits.get(workload.name, 0.0)
     if load.free <= 0:
         wait = max(wait, MIN_FULL_WAIT)
--- a/siskinroad/shard.py
+++ b/siskinroad/shard.py
@@ -178,7 +178,7 @@
         self.shares.set_total(total, now)
         self.accounts.set_capacity(total, milliseconds(now))
 
-    def charge(
+    def change_allocations(
         self, workload: Workload, held: Resources, sign: int, now: float
     ) -> None:
         """Add resources to the allocation of a workload's owner or subtract them.
--- a/siskinroad/shares.py
+++ b/siskinroad/shares.py
@@ -21,7 +21,7 @@
 class _Account:
     owner: Owner
     held: Resources = NOTHING
-    share: float = 0.0
+    dominant_share: float = 0.0
     decayed_use: float = 0.0
     accrued_until: float = 0.0
 
@@ -53,7 +53,7 @@
             self._accrue(account, now)
         self.total = total
         for account in self._accounts.values():
-            account.share = account.held.dominant(total)
+            account.dominant_share = account.held.dominant(total)
 
     def change_allocation(
         self, name: str, held: Resources, sign: int, now: float
@@ -62,7 +62,7 @@
         account = self._account(name)
         self._accrue(account, now)
         account.held = account.held + held if sign > 0 else account.held - held
-        account.share = account.held.dominant(self.total)
+        account.dominant_share = account.held.dominant(self.total)
 
     def held(self, name: str) -> Resources:
         """Return the resources allocated to an owner."""
@@ -72,7 +72,9 @@
         """Return an owner's rank; the lowest goes first."""
         account = self._account(name)
         self._accrue(account, now)
-        return (account.decayed_use + account.share * LOOK_AHEAD) / account.owner.weight
+        return (
+            account.decayed_use + account.dominant_share * LOOK_AHEAD
+        ) / account.owner.weight
 
     def within_quota(self, name: str, need: Resources) -> bool:
         """Return whether an owner's quota allows another ``need``."""
@@ -86,13 +88,13 @@
         )
 
     def fair_share(self, name: str, backlogged: set[str]) -> float:
-        """Return the fraction of the total due to an owner among those with work."""
+        """Return the fraction of the total due to one of the backlogged owners."""
         weights = {x: self._account(x).owner.weight for x in backlogged | {name}}
         return weights[name] / sum(weights.values())
 
-    def share(self, name: str) -> float:
+    def dominant_share(self, name: str) -> float:
         """Return the dominant share of an owner's allocation."""
-        return self._account(name).share
+        return self._account(name).dominant_share
 
     def _account(self, name: str) -> _Account:
         account = self._accounts.get(name)
@@ -106,7 +108,9 @@
         if elapsed <= 0:
             return
         retained = max(0.0, 1.0 - elapsed / DECAY_TIME)
-        account.decayed_use = account.decayed_use * retained + account.share * elapsed
+        account.decayed_use = (
+            account.decayed_use * retained + account.dominant_share * elapsed
+        )
         account.accrued_until = now
 
 
--- a/tests/test_estimates.py
+++ b/tests/test_estimates.py
@@ -22,9 +22,9 @@
     assert max(values) * 0.999 <= top <= max(values) * 2**0.25 * 1.001
 
 
-def test_unknown_workload_reserves_four_times_its_declared_memory():
-    reserve = Estimates().reserve(RECOUNT, CAPACITY)
-    assert reserve.memory_mib == 4 * RECOUNT.demand.memory_mib
+def test_unknown_workload_is_allocated_four_times_its_declared_memory():
+    allocation = Estimates().allocation(RECOUNT, CAPACITY)
+    assert allocation.memory_mib == 4 * RECOUNT.demand.memory_mib
 
 
 def test_sizes_declared_ten_times_too_small_or_large_are_learned():
@@ -35,8 +35,8 @@
         for _ in range(30):
             used = round(true_size * rng.uniform(0.8, 1.0))
             estimates.observe(RECOUNT, 3.0 * factor, 1000, used)
-        reserve = estimates.reserve(RECOUNT, CAPACITY).memory_mib
-        assert true_size <= reserve <= true_size * 1.4
+        allocation = estimates.allocation(RECOUNT, CAPACITY).memory_mib
+        assert true_size <= allocation <= true_size * 1.4
         assert 3.0 * factor <= estimates.run_time(RECOUNT) <= 3.0 * factor * 1.2
 
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -91,7 +91,7 @@
         assert min(view.cpu, view.memory, view.accelerators, view.slots) >= 0
 
 
-def test_unknown_workload_reserves_more_than_it_declares():
+def test_unknown_workload_is_allocated_more_than_it_declares():
     scheduler = make_scheduler(1, memory_gib=64)
     assert len(start_effects(submit(scheduler, "plain", 8))) == 2
 
