--- a/siskinroad/cell.py
+++ b/siskinroad/cell.py
@@ -187,7 +187,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Owner:
-    """An owner who pays; a quota dimension of 0 means no limit."""
+    """Owner who pays; a quota dimension of 0 means no limit."""
 
     name: str
     weight: float
@@ -213,7 +213,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Pool:
-    """An upstream: a pool of hosts of the same kind."""
+    """Upstream: a pool of hosts of the same kind."""
 
     name: str
     capacity: Resources
@@ -225,7 +225,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Workload:
-    """A service, a kind of batch job or a kind of gang.
+    """Service, kind of batch job or kind of gang.
 
     Times are in seconds. ``size`` is the number of tasks of a gang, otherwise 1.
     ``demand`` is that of one task or request.
@@ -254,7 +254,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cell:
-    """A validated cell file."""
+    """Validated cell file."""
 
     name: str
     owners: dict[str, Owner]
@@ -309,15 +309,15 @@
     _check_references(data, reader)
     if reader.problems:
         raise ConfigError(source, reader.problems)
-    return _build(data, text)
+    return _build_cell(data, text)
 
 
-def _check_unique(reader: Reader, places: Iterator[tuple[str, str]]) -> None:
+def _check_unique(reader: Reader, paths: Iterator[tuple[str, str]]) -> None:
     seen: dict[str, str] = {}
-    for place, name in places:
+    for path, name in paths:
         if name in seen:
-            reader.add_problem(place, name, f"a value not used by {seen[name]}")
-        seen.setdefault(name, place)
+            reader.add_problem(path, name, f"a value not used by {seen[name]}")
+        seen.setdefault(name, path)
 
 
 def _entry_names(data: dict[str, Any], *keys: str) -> Iterator[tuple[str, str]]:
@@ -351,9 +351,9 @@
     owners = {entry["name"] for entry in data["owners"]}
     pools = {entry["name"] for entry in data["upstreams"]}
     data_centres = {name for _, name in _data_centres(data)}
-    for place, name in _host_fields(data, "data_centre"):
+    for path, name in _host_fields(data, "data_centre"):
         if name not in data_centres:
-            reader.add_problem(place, name, "a data centre listed under regions")
+            reader.add_problem(path, name, "a data centre listed under regions")
     for key in ("services", "batch", "gangs"):
         for i, entry in enumerate(data[key]):
             if entry["owner"] not in owners:
@@ -367,7 +367,7 @@
                 reader.add_problem(f"{key}[{i}].upstream", entry["upstream"], allowed)
 
 
-def _resources(data: dict[str, Any], slots: int) -> Resources:
+def _build_resources(data: dict[str, Any], slots: int) -> Resources:
     return Resources(
         round(data["cpu"] * 1000),
         round(data["memory_gib"] * MIB_PER_GIB),
@@ -376,27 +376,27 @@
     )
 
 
-def _build(data: dict[str, Any], text: str) -> Cell:
+def _build_cell(data: dict[str, Any], text: str) -> Cell:
     workloads = {}
     for kind, key in (("service", "services"), ("batch", "batch"), ("gang", "gangs")):
         for entry in data[key]:
-            workloads[entry["name"]] = _workload(kind, entry)
+            workloads[entry["name"]] = _build_workload(kind, entry)
     return Cell(
         data["name"],
-        {entry["name"]: _owner(entry) for entry in data["owners"]},
+        {entry["name"]: _build_owner(entry) for entry in data["owners"]},
         {name: r["name"] for r in data["regions"] for name in r["data_centres"]},
-        {entry["name"]: _pool(entry) for entry in data["upstreams"]},
+        {entry["name"]: _build_pool(entry) for entry in data["upstreams"]},
         workloads,
         text,
     )
 
 
-def _owner(entry: dict[str, Any]) -> Owner:
-    quota = _resources(entry["quota"], 0)
+def _build_owner(entry: dict[str, Any]) -> Owner:
+    quota = _build_resources(entry["quota"], 0)
     return Owner(entry["name"], entry["weight"], entry["idle_weight"], quota)
 
 
-def _pool(entry: dict[str, Any]) -> Pool:
+def _build_pool(entry: dict[str, Any]) -> Pool:
     name = entry["name"]
     hosts = tuple(
         Host(
@@ -411,7 +411,7 @@
     )
     return Pool(
         name,
-        _resources(entry, entry["slots"]),
+        _build_resources(entry, entry["slots"]),
         entry["connections"],
         entry["shards"],
         entry["fencing"],
@@ -419,14 +419,14 @@
     )
 
 
-def _workload(kind: str, entry: dict[str, Any]) -> Workload:
+def _build_workload(kind: str, entry: dict[str, Any]) -> Workload:
     return Workload(
         name=entry["name"],
         kind=kind,
         owner=entry["owner"],
         pool=entry["upstream"],
         urgency=Urgency(URGENCY_NAMES.index(entry["urgency"])),
-        demand=_resources(entry["demand"], 1),
+        demand=_build_resources(entry["demand"], 1),
         start_within=entry["start_within_s"],
         queue_limit=entry["queue_limit"],
         retries=entry["retries"],
@@ -453,18 +453,19 @@
     return f"{pool}/{data_centre}/{int.from_bytes(rack_hash) % shards}"
 
 
-def moved_hosts(old: Cell, new: Cell) -> list[str]:
+def moved_hosts(current: Cell, proposed: Cell) -> list[str]:
     """Return the hosts that would change their shard, which is not allowed.
 
-    While some daemons still use the old revision, two daemons would own such a host.
+    While some daemons still use the current revision, two daemons would own such a
+    host.
     To move a host, remove it in one revision and add it under another name and address
     in a later one.
     """
-    shards = {host.name: host.shard for host in old.hosts()}
-    addresses = {host.address: host.shard for host in old.hosts()}
+    shards = {host.name: host.shard for host in current.hosts()}
+    addresses = {host.address: host.shard for host in current.hosts()}
     return [
         host.name
-        for host in new.hosts()
+        for host in proposed.hosts()
         if shards.get(host.name, host.shard) != host.shard
         or addresses.get(host.address, host.shard) != host.shard
     ]
@@ -482,12 +483,18 @@
     return flat
 
 
-def diff(old: Cell | None, new: Cell) -> list[str]:
-    """Return one line for each thing added (+), removed (-) or changed (~)."""
-    old_values = _flatten(old) if old else {}
-    new_values = _flatten(new)
-    lines = [f"- {key}" for key in sorted(old_values.keys() - new_values.keys())]
-    lines += [f"+ {key}" for key in sorted(new_values.keys() - old_values.keys())]
-    common = sorted(old_values.keys() & new_values.keys())
-    lines += [f"~ {key}" for key in common if old_values[key] != new_values[key]]
+def diff(current: Cell | None, proposed: Cell) -> list[str]:
+    """Return one line for each entry removed (-), added (+) or changed (~)."""
+    current_values = _flatten(current) if current else {}
+    proposed_values = _flatten(proposed)
+    lines = [
+        f"- {key}" for key in sorted(current_values.keys() - proposed_values.keys())
+    ]
+    lines += [
+        f"+ {key}" for key in sorted(proposed_values.keys() - current_values.keys())
+    ]
+    common = sorted(current_values.keys() & proposed_values.keys())
+    lines += [
+        f"~ {key}" for key in common if current_values[key] != proposed_values[key]
+    ]
     return lines
