--- a/siskinroad/estimates.py
+++ b/siskinroad/estimates.py
@@ -15,15 +15,16 @@
 
 # Histogram buckets for each factor of two. With fewer, quantiles come out too high.
 BUCKETS_PER_DOUBLING = 4
-# Weight that a sample keeps when the next one arrives. A larger value follows
-# changes of a workload more slowly.
+# Factor applied to the weight of earlier samples when one arrives. With a larger
+# value, estimates follow changes of a workload more slowly.
 DECAY = 0.995
-# Recent samples from which on estimates replace the declared values.
+# Decayed number of samples from which estimates replace the declared values.
 MIN_SAMPLES = 5.0
-# Multiple of its declared size that a task gets while its workload is not known. A
-# smaller value overcommits hosts where the declared sizes are too low.
+# Multiple of its declared size that is allocated to a task while its workload has too
+# few samples. A smaller value overcommits hosts where the declared sizes are too low.
 UNKNOWN_FACTOR = 4.0
-# Quantile of the peak usage that a task gets, and the factor by which it is raised.
+# Quantile of the peak usage that is allocated to a task, and the factor by which it
+# is raised.
 PEAK_QUANTILE = 0.95
 PEAK_MARGIN = 1.1
 # Largest factor between the declared and the estimated size, in both directions.
@@ -55,10 +56,10 @@
 
     def quantile(self, q: float) -> float:
         """Return the upper edge of the bucket that contains quantile ``q``."""
-        left = q * self.total
+        remaining = q * self.total
         for index in sorted(self.counts):
-            left -= self.counts[index]
-            if left <= 1e-9 * self.total:
+            remaining -= self.counts[index]
+            if remaining <= 1e-9 * self.total:
                 return 2.0 ** (index / BUCKETS_PER_DOUBLING)
         return 0.0
 
@@ -81,7 +82,7 @@
     memory: Histogram = field(default_factory=Histogram)
     run_time: Histogram = field(default_factory=Histogram)
     declared: Resources | None = None
-    reserve: Resources | None = None
+    allocation: Resources | None = None
     run_time_s: float | None = None
 
 
@@ -102,7 +103,7 @@
         stats.run_time.add(run_time)
         stats.cpu.add(max(cpu_milli, 1))
         stats.memory.add(max(memory_mib, 1))
-        stats.reserve = None
+        stats.allocation = None
         stats.run_time_s = None
 
     def is_known(self, workload: Workload) -> bool:
@@ -110,7 +111,7 @@
         stats = self._stats.get(workload.name)
         return stats is not None and stats.memory.weight >= MIN_SAMPLES
 
-    def reserve(self, workload: Workload, capacity: Resources) -> Resources:
+    def allocation(self, workload: Workload, capacity: Resources) -> Resources:
         """Return the resources to allocate to one task on a host of ``capacity``.
 
         Requests get what their workload declares. A task of a workload without
@@ -121,10 +122,10 @@
         stats = self._stats.get(workload.name)
         if stats is None:
             stats = self._stats[workload.name] = _WorkloadStatistics()
-        if stats.reserve is None or stats.declared is not workload.demand:
+        if stats.allocation is None or stats.declared is not workload.demand:
             stats.declared = workload.demand
-            stats.reserve = _compute_reserve(workload.demand, stats, capacity)
-        return stats.reserve
+            stats.allocation = _compute_allocation(workload.demand, stats, capacity)
+        return stats.allocation
 
     def run_time(self, workload: Workload) -> float:
         """Return the expected run time in seconds: the median, once it is known."""
@@ -138,7 +139,7 @@
         return stats.run_time_s
 
 
-def _compute_reserve(
+def _compute_allocation(
     demand: Resources, stats: _WorkloadStatistics, capacity: Resources
 ) -> Resources:
     if stats.memory.weight < MIN_SAMPLES:
--- a/siskinroad/load.py
+++ b/siskinroad/load.py
@@ -11,9 +11,9 @@
 
 __all__ = ["LoadResult", "percentile", "run_load", "send_load"]
 
-# Concurrent connections to one daemon. Requests beyond it fail at once as not sent and
-# count as errors.
-MAX_IN_FLIGHT = 256
+# Largest number of concurrent connections to one daemon. A request beyond it fails at
+# once as not sent and counts as an error.
+MAX_CONNECTIONS_PER_DAEMON = 256
 # Seconds after which a request without a complete response counts as an error.
 REQUEST_TIMEOUT_S = 30.0
 HTTP_OK = 200
@@ -29,14 +29,14 @@
 
     latencies_s: list[float] = field(default_factory=list)
     refused: dict[int, int] = field(default_factory=dict)
-    errors: int = 0
+    error_count: int = 0
 
     def summarize(self) -> dict[str, float]:
         """Return counts and latencies in milliseconds by name."""
         return {
             "answered": len(self.latencies_s),
             "refused": sum(self.refused.values()),
-            "errors": self.errors,
+            "errors": self.error_count,
             "median_ms": round(percentile(self.latencies_s, 0.5) * 1000, 2),
             "p99_ms": round(percentile(self.latencies_s, 0.99) * 1000, 2),
             "max_ms": round(max(self.latencies_s, default=0.0) * 1000, 2),
@@ -44,7 +44,7 @@
 
 
 def percentile(values: list[float], fraction: float) -> float:
-    """Return the value below which a fraction of the values lie; 0 if there is none."""
+    """Return the value below which a fraction of the values lie; 0 without values."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -69,14 +69,14 @@
     rate : float
         Mean number of requests per second.
     seconds : float
-        How long new requests are sent.
+        Time during which new requests are sent.
     body_bytes : int
         Size of each request body in bytes.
     key_prefix : str
         If not empty, each request carries an idempotency key of its own.
     """
     loop = asyncio.get_running_loop()
-    pool = HttpPool(MAX_IN_FLIGHT)
+    pool = HttpPool(MAX_CONNECTIONS_PER_DAEMON)
     result = LoadResult()
     tasks: set[asyncio.Task[None]] = set()
     end = loop.time() + seconds
@@ -120,7 +120,7 @@
             timeout=REQUEST_TIMEOUT_S,
         )
     except SiskinroadError:
-        result.errors += 1
+        result.error_count += 1
         return
     if response.status == HTTP_OK:
         result.latencies_s.append(loop.time() - started_at)
--- a/siskinroad/platform_memory.py
+++ b/siskinroad/platform_memory.py
@@ -24,7 +24,7 @@
     down : bool
         All calls fail, and appends have no effect.
     lost_replies : int
-        Number of following appends that take effect although their replies are lost.
+        Number of further appends that take effect but whose replies are lost.
     delay : float
         Delay of each call, in seconds.
     cut : set of str
@@ -53,24 +53,24 @@
 
     Attributes
     ----------
-    retention : int
-        Maximum number of records retained per stream.
+    max_records_per_stream : int
+        Largest number of records that a stream retains; older ones are trimmed.
     host_lists : dict
         State of each listed host, by data centre and host name.
     appends, reads : int
         Number of appends and reads since the start.
-    bytes_in, bytes_out : int
+    bytes_appended, bytes_read : int
         Bytes appended and read since the start.
     """
 
-    retention: int = 100_000
+    max_records_per_stream: int = 100_000
     faults: PlatformFaults = field(default_factory=PlatformFaults)
     host_lists: dict[str, dict[str, HostState]] = field(default_factory=dict)
     list_version: int = 1
     appends: int = 0
     reads: int = 0
-    bytes_in: int = 0
-    bytes_out: int = 0
+    bytes_appended: int = 0
+    bytes_read: int = 0
     streams: dict[str, _Stream] = field(default_factory=dict)
 
     def append(self, stream: str, data: bytes) -> int:
@@ -79,8 +79,8 @@
         offset = log.tail
         log.records.append(data)
         self.appends += 1
-        self.bytes_in += len(data)
-        if len(log.records) > self.retention:
+        self.bytes_appended += len(data)
+        if len(log.records) > self.max_records_per_stream:
             log.records.popleft()
             log.first += 1
         return offset
@@ -94,7 +94,7 @@
         high = min(low + limit, len(log.records))
         records = [log.records[i] for i in range(low, high)]
         self.reads += 1
-        self.bytes_out += sum(map(len, records))
+        self.bytes_read += sum(map(len, records))
         return LogPage(log.first, log.first + low, records, log.tail)
 
     def set_host_state(self, data_centre: str, name: str, state: HostState) -> None:
@@ -136,7 +136,9 @@
         offset = self.log.append(stream, data)
         if self.log.faults.lost_replies > 0:
             self.log.faults.lost_replies -= 1
-            raise PlatformError("reply lost", step="platform.append")
+            raise PlatformError(
+                "record appended, but its reply was lost", step="platform.append"
+            )
         return offset
 
     async def read(self, stream: str, start: int, limit: int) -> LogPage:
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -53,6 +53,7 @@
 
 
 def test_no_imports_form_a_cycle():
+    """A module of a cycle may be imported before the names that it needs exist."""
     graph = build_import_graph()
     assert len(graph) > 100
     assert not [found for name in graph if (found := find_cycle(name, graph))]
@@ -65,6 +66,7 @@
 
 
 def test_the_product_does_not_import_the_platform_adapter():
+    """``siskinroad`` must run without the names and formats of one platform."""
     for name, path in find_modules().items():
         if name.startswith("siskinroad"):
             assert not {
