--- a/bench/baselines.py
+++ b/bench/baselines.py
@@ -14,8 +14,8 @@
 class Baseline:
     """Base of the baseline policies: hosts, running items and their resources.
 
-    It has the interface of ``Scheduler``. Declared demands are taken as the true
-    ones: usage reports, host events and ticks change nothing.
+    It has the interface of ``Scheduler``. It takes the declared demands as
+    the usage: usage reports, host events and ticks change nothing.
     """
 
     def __init__(self, cell: Cell) -> None:
@@ -71,7 +71,7 @@
 
 
 class FirstCome(Baseline):
-    """First come, first served, on the first host with enough free capacity."""
+    """Policy that starts items by arrival, on the first host with enough capacity."""
 
     def __init__(self, cell: Cell) -> None:
         super().__init__(cell)
@@ -105,7 +105,7 @@
 
 
 class StrictPriority(Baseline):
-    """Strict priority by urgency, then by arrival, on the best-fitting host."""
+    """Policy that starts items by urgency, then arrival, on the best-fitting host."""
 
     def __init__(self, cell: Cell) -> None:
         super().__init__(cell)
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -34,8 +34,8 @@
 # Resident memory of a daemon that has imported its modules and holds no state, in MB
 PROGRAM_MB = 30.3
 
-# Time that a host holds an inventory request open, in seconds: each host gets one
-# request in this time
+# Seconds for which a host holds an inventory request open: each host gets one request
+# in this time
 INVENTORY_WAIT_S = 10.0
 
 # Bounds for one daemon: share of a processor core at rest, resident memory in MB,
@@ -55,7 +55,7 @@
 
 def estimate_memory(slopes: dict[str, Any]) -> list[dict[str, Any]]:
     """Estimate the memory of one daemon at the design size, by kind of state."""
-    fits = slopes["memory"]
+    memory_fits = slopes["memory"]
     counts = {
         "host in the cell file": HOSTS,
         "owner": OWNERS,
@@ -67,7 +67,7 @@
     }
     rows = []
     for name, count in counts.items():
-        bytes_each = fits[name]["slope"]
+        bytes_each = memory_fits[name]["slope"]
         rows.append(
             {
                 "state": name,
@@ -90,23 +90,34 @@
 
 
 def estimate_control_bytes(slopes: dict[str, Any]) -> list[dict[str, Any]]:
-    """Estimate the control bytes a second that one daemon sends, by message."""
-    size = slopes["messages"]
+    """Estimate the control bytes a second that one daemon sends, by message.
+
+    The reader is the daemon of a data centre that reads the log for its peers; the
+    others send no records and no digests of their own.
+    """
+    message_sizes = slopes["messages"]
     peers = DAEMONS_PER_CENTRE - 1
-    with_members = size["heartbeat that names the admitted"]
-    mean_heartbeat = (3 * size["heartbeat"] + with_members) / 4
+    heartbeat_with_members = message_sizes["heartbeat that names the admitted"]
+    mean_heartbeat = (3 * message_sizes["heartbeat"] + heartbeat_with_members) / 4
     mean_heartbeat += (
-        size["heartbeat, a shard more"] * SHARDS_PER_CENTRE / DAEMONS_PER_CENTRE
+        message_sizes["heartbeat, a shard more"]
+        * SHARDS_PER_CENTRE
+        / DAEMONS_PER_CENTRE
     )
-    change_bytes = size["change record"] * CHANGES_PER_DAY / DAY_S
-    job_bytes = (
-        JOBS_PER_DAY / DATA_CENTRES / DAY_S * (size["job record"] + size["end record"])
+    change_rate = message_sizes["change record"] * CHANGES_PER_DAY / DAY_S
+    job_rate = (
+        JOBS_PER_DAY
+        / DATA_CENTRES
+        / DAY_S
+        * (message_sizes["job record"] + message_sizes["end record"])
     )
     digest_bytes = (
-        size["digest"] + (SHARDS_PER_CENTRE - 1) * size["digest, a shard more"]
+        message_sizes["digest"]
+        + (SHARDS_PER_CENTRE - 1) * message_sizes["digest, a shard more"]
     )
-    relayed = 9 * peers * digest_bytes / 10 / DAEMONS_PER_CENTRE
-    inventory = HOSTS / DATA_CENTRES / DAEMONS_PER_CENTRE / INVENTORY_WAIT_S * 220
+    # To each of the 9 other data centres one digest in 10 s
+    relay_rate = 9 * peers * digest_bytes / 10 / DAEMONS_PER_CENTRE
+    inventory_rate = HOSTS / DATA_CENTRES / DAEMONS_PER_CENTRE / INVENTORY_WAIT_S * 220
     rows = [
         (
             "heartbeats, 2 a second",
@@ -115,12 +126,12 @@
         ),
         (
             "tails and records of the log",
-            peers * (2 * size["tail"] + change_bytes + job_bytes),
+            peers * (2 * message_sizes["tail"] + change_rate + job_rate),
             0.0,
         ),
         ("digests to other data centres, 1 in 10 s", 9 * digest_bytes / 10, 0.0),
-        ("digests passed on", relayed, relayed),
-        ("inventories", inventory, inventory),
+        ("digests passed on", relay_rate, relay_rate),
+        ("inventories", inventory_rate, inventory_rate),
     ]
     table_rows = [
         {"control": name, "reader B/s": round(reader), "other B/s": round(other)}
@@ -157,12 +168,15 @@
 
 def estimate_region_bytes(slopes: dict[str, Any]) -> list[dict[str, Any]]:
     """Estimate the bytes that cross regions, by cause."""
-    size = slopes["messages"]
+    message_sizes = slopes["messages"]
     pair_rate = slopes["abroad"]["digest bytes a second, pair"]
     return [
         {"cause": "a request served at home", "bytes": 0},
         {"cause": "a task start at home", "bytes": 0},
-        {"cause": "a change, for each data centre", "bytes": size["change record"]},
+        {
+            "cause": "a change, for each data centre",
+            "bytes": message_sizes["change record"],
+        },
         {
             "cause": "an idle hour, a pair of data centres (measured)",
             "bytes": round(pair_rate * 3600),
@@ -176,18 +190,16 @@
 ) -> list[dict[str, Any]]:
     """Compare each bound with the estimate or measurement that it limits."""
     memory = estimate_memory(slopes)[-1]["MB"]
-    sent = estimate_control_bytes(slopes)[-1]
-    idle_daemons = next(
-        row for row in processes if row["daemons"] == DAEMONS_PER_CENTRE
-    )
+    control_sums = estimate_control_bytes(slopes)[-1]
+    process_row = next(row for row in processes if row["daemons"] == DAEMONS_PER_CENTRE)
     appends = estimate_appends()[-1]["appends/s"]
     rows = [
         ("memory MB", MEMORY_BOUND_MB, memory),
-        ("memory at rest MB, 7 true daemons", MEMORY_BOUND_MB, idle_daemons["MB max"]),
-        ("core at rest, median of 7", CORE_BOUND, idle_daemons["core median"]),
-        ("core at rest, the reader of 7", CORE_BOUND, idle_daemons["core max"]),
-        ("control B/s, reader", CONTROL_BYTES_BOUND, sent["reader B/s"]),
-        ("control B/s, other", CONTROL_BYTES_BOUND, sent["other B/s"]),
+        ("memory at rest MB, 7 true daemons", MEMORY_BOUND_MB, process_row["MB max"]),
+        ("core at rest, median of 7", CORE_BOUND, process_row["core median"]),
+        ("core at rest, the reader of 7", CORE_BOUND, process_row["core max"]),
+        ("control B/s, reader", CONTROL_BYTES_BOUND, control_sums["reader B/s"]),
+        ("control B/s, other", CONTROL_BYTES_BOUND, control_sums["other B/s"]),
         ("appends/s, whole log", APPENDS_BOUND, appends),
     ]
     return [
--- a/bench/clock.py
+++ b/bench/clock.py
@@ -1,4 +1,4 @@
-"""An event loop with a paused clock: time advances straight to the next timer."""
+"""Event loop with a paused clock: time advances straight to the next timer."""
 
 from __future__ import annotations
 
@@ -35,11 +35,11 @@
     """Event loop whose time is that of its selector."""
 
     def __init__(self) -> None:
-        self._selector_clock = _AutoAdvanceSelector()
-        super().__init__(self._selector_clock)
+        self._clock_selector = _AutoAdvanceSelector()
+        super().__init__(self._clock_selector)
 
     def time(self) -> float:
-        return self._selector_clock.now
+        return self._clock_selector.now
 
 
 def run_on_paused_clock(coro: Coroutine[Any, Any, T]) -> T:
--- a/bench/decisions.py
+++ b/bench/decisions.py
@@ -15,7 +15,13 @@
 from typing import Any
 
 from bench.baselines import FirstCome, StrictPriority
-from bench.driver import Arrival, Driver, Result, bursts, poisson
+from bench.driver import (
+    Arrival,
+    Driver,
+    RunResult,
+    generate_bursty_arrivals,
+    generate_poisson_arrivals,
+)
 from siskinroad.cell import Cell, parse_cell
 from siskinroad.effects import End, StartTask
 from siskinroad.load import percentile
@@ -26,18 +32,17 @@
 SEED = 3
 POLICIES = ("siskinroad", "first come", "strict priority")
 
-# Targets. Times are in seconds; the other values are ratios, except the rate
-# DECISIONS_A_SECOND.
-URGENT_WAIT_LIMIT = 1.8
-URGENT_FRACTION = 0.999
-URGENT_MEDIAN = 0.050
-FLOOD_RATIO = 1.2
-THROUGHPUT = 0.95
-PACKING = 0.92
-SHARE_ERROR = 0.02
-DECISION_P99 = 0.005
-DECISIONS_A_SECOND = 2000
-GROWTH = 2.0
+# Targets. Values without a unit in their names are ratios.
+URGENT_WAIT_LIMIT_S = 1.8
+MIN_URGENT_FRACTION = 0.999
+MAX_URGENT_MEDIAN_S = 0.050
+MAX_FLOOD_RATIO = 1.2
+MIN_THROUGHPUT_RATIO = 0.95
+MIN_PACKING_RATIO = 0.92
+MAX_SHARE_ERROR = 0.02
+MAX_DECISION_P99_S = 0.005
+MIN_DECISIONS_PER_S = 2000
+MAX_COST_RATIO = 2.0
 
 
 def create_policy(name: str, cell: Cell) -> Any:
@@ -50,7 +55,7 @@
             return StrictPriority(cell)
 
 
-def _host_tables(count: int, rack: int) -> str:
+def _format_host_tables(count: int, rack: int) -> str:
     return "".join(
         f'[[upstreams.hosts]]\nname = "h{i}"\n'
         f'address = "127.0.{i // 200}.{i % 200 + 1}:7000"\n'
@@ -68,7 +73,7 @@
     return parse_cell(text + f'[[upstreams]]\nname = "p"\n{pool}\n{hosts}{work}')
 
 
-def _workload_table(
+def _format_workload_table(
     kind: str, name: str, owner: str, urgency: str, **keys: object
 ) -> str:
     lines = [f"[[{kind}]]", f'name = "{name}"', f'owner = "{owner}"', 'upstream = "p"']
@@ -77,30 +82,33 @@
     return "\n".join(lines) + "\n"
 
 
-def _declared_usage(item: Item) -> tuple[int, int]:
+def _get_declared_usage(item: Item) -> tuple[int, int]:
     need = item.workload.demand
     return need.cpu_milli, need.memory_mib
 
 
 # Urgent requests during a flood of background work
 
+# Number of hosts and TOML keys of the capacity of one, by deployment.
 DEPLOYMENTS = {
     "stanova booking": (6, "cpu = 32\nmemory_gib = 128"),
     "al rahma family": (6, "cpu = 64\nmemory_gib = 256"),
 }
 
 
-def urgent_cell(deployment: str) -> Cell:
+def create_urgent_cell(deployment: str) -> Cell:
     count, pool = DEPLOYMENTS[deployment]
     demand = "{ cpu = 2, memory_gib = 4 }"
-    work = _workload_table("services", "quote", "desk", "urgent", demand=demand)
-    work += _workload_table("services", "roster", "desk", "standard", demand=demand)
+    work = _format_workload_table("services", "quote", "desk", "urgent", demand=demand)
+    work += _format_workload_table(
+        "services", "roster", "desk", "standard", demand=demand
+    )
     paper = {"demand": demand, "checkpoint": True, "run_time_s": 2}
     paper["queue_limit"] = 50_000
-    work += _workload_table("batch", "paper", "records", "background", **paper)
-    work += _workload_table("batch", "flood", "records", "background", **paper)
+    work += _format_workload_table("batch", "paper", "records", "background", **paper)
+    work += _format_workload_table("batch", "flood", "records", "background", **paper)
     return _parse_bench_cell(
-        pool, _host_tables(count, 5), {"desk": 3, "records": 1}, work
+        pool, _format_host_tables(count, 5), {"desk": 3, "records": 1}, work
     )
 
 
@@ -109,58 +117,68 @@
 STANDARD_LOAD = 0.15
 PAPER_LOAD = 0.30
 # Mean run times, in seconds.
-QUOTE_TIME = 0.3
-PAPER_TIME = 2.0
+QUOTE_TIME_S = 0.3
+PAPER_TIME_S = 2.0
 # Flood size (items) and run length (seconds) of the plotted waits.
 PLOTTED_FLOOD = (4000, 300.0)
-# Flood: number of items, mean run time and arrival instant in seconds.
+# Flood: number of items, mean run time and arrival time in seconds.
 FLOOD_ITEMS = 20_000
-FLOOD_TIME = 0.2
-FLOOD_AT = 60.0
+FLOOD_TIME_S = 0.2
+FLOOD_START_S = 60.0
 
 
-def _lognormal_time(rng: random.Random, mean: float, sigma: float = 1.0) -> float:
+def _draw_lognormal_time(rng: random.Random, mean: float, sigma: float = 1.0) -> float:
     """Draw a log-normal time with the given mean, in the unit of the mean."""
     return rng.lognormvariate(math.log(mean) - sigma * sigma / 2, sigma)
 
 
-def urgent_arrivals(cell: Cell, flood: int, until: float) -> Iterator[Arrival]:
+def generate_urgent_arrivals(cell: Cell, flood: int, until: float) -> Iterator[Arrival]:
     rng = random.Random(SEED)
     slots = 8 * sum(1 for _ in cell.hosts())
-    quote = bursts(rng, URGENT_LOAD * slots / QUOTE_TIME, until, 60.0, 1.5)
-    roster = poisson(rng, STANDARD_LOAD * slots / QUOTE_TIME, until)
-    paper = poisson(rng, PAPER_LOAD * slots / PAPER_TIME, until)
+    quote = generate_bursty_arrivals(
+        rng, URGENT_LOAD * slots / QUOTE_TIME_S, until, 60.0, 1.5
+    )
+    roster = generate_poisson_arrivals(rng, STANDARD_LOAD * slots / QUOTE_TIME_S, until)
+    paper = generate_poisson_arrivals(rng, PAPER_LOAD * slots / PAPER_TIME_S, until)
     # Each stream is drawn on its own, so that the flood leaves the others unchanged.
     merged = [(at, "quote") for at in quote]
     merged += [(at, "roster") for at in roster]
     merged += [(at, "paper") for at in paper]
-    merged += [(FLOOD_AT, "flood")] * flood
+    merged += [(FLOOD_START_S, "flood")] * flood
     merged.sort()
     for number, (at, name) in enumerate(merged):
         yield at, Item(f"{name}/{number}", cell.workloads[name], at)
 
 
-def run_urgent(deployment: str, policy: str, flood: int, until: float) -> Result:
-    cell = urgent_cell(deployment)
-    means = {
-        "quote": QUOTE_TIME,
-        "roster": QUOTE_TIME,
-        "paper": PAPER_TIME,
-        "flood": FLOOD_TIME,
+def run_urgent(deployment: str, policy: str, flood: int, until: float) -> RunResult:
+    cell = create_urgent_cell(deployment)
+    mean_times_s = {
+        "quote": QUOTE_TIME_S,
+        "roster": QUOTE_TIME_S,
+        "paper": PAPER_TIME_S,
+        "flood": FLOOD_TIME_S,
     }
 
-    def seconds(item: Item) -> float:
+    def draw_run_time(item: Item) -> float:
         name = item.workload.name
         sigma = 0.5 if name == "flood" else 1.0
-        return _lognormal_time(random.Random(f"{SEED}{item.key}"), means[name], sigma)
+        return _draw_lognormal_time(
+            random.Random(f"{SEED}{item.key}"), mean_times_s[name], sigma
+        )
 
     driver = Driver(
-        create_policy(policy, cell), cell, seconds, _declared_usage, warm=30.0
+        create_policy(policy, cell),
+        cell,
+        draw_run_time,
+        _get_declared_usage,
+        warm_up_s=30.0,
     )
-    return driver.run(urgent_arrivals(cell, flood, until), until)
+    return driver.run(generate_urgent_arrivals(cell, flood, until), until)
 
 
-def urgent_rows(pool: Executor, flood: int, until: float) -> list[dict[str, Any]]:
+def measure_urgent_waits(
+    pool: Executor, flood: int, until: float
+) -> list[dict[str, Any]]:
     runs = {
         (deployment, policy, items): pool.submit(
             run_urgent, deployment, policy, items, until
@@ -172,9 +190,13 @@
     rows = []
     for deployment in DEPLOYMENTS:
         for policy in POLICIES:
-            calm = runs[(deployment, policy, 0)].result()
-            full = runs[(deployment, policy, flood)].result()
-            rows.append(_urgent_row(deployment, policy, calm, full, flood))
+            calm_result = runs[(deployment, policy, 0)].result()
+            flood_result = runs[(deployment, policy, flood)].result()
+            rows.append(
+                _summarize_urgent_waits(
+                    deployment, policy, calm_result, flood_result, flood
+                )
+            )
         first = next(
             r
             for r in rows
@@ -186,26 +208,34 @@
     return rows
 
 
-def _urgent_row(
-    deployment: str, policy: str, calm: Result, full: Result, flood: int
+def _summarize_urgent_waits(
+    deployment: str,
+    policy: str,
+    calm_result: RunResult,
+    flood_result: RunResult,
+    flood: int,
 ) -> dict[str, Any]:
-    waits = full.waits["quote"]
-    late = sum(1 for wait in waits if wait > URGENT_WAIT_LIMIT)
-    quiet = percentile(calm.waits["quote"], 0.99)
-    loud = percentile(waits, 0.99)
-    done = full.finished.get("flood", 0)
+    waits = flood_result.waits["quote"]
+    late_count = sum(1 for wait in waits if wait > URGENT_WAIT_LIMIT_S)
+    calm_p99_s = percentile(calm_result.waits["quote"], 0.99)
+    flood_p99_s = percentile(waits, 0.99)
+    done = flood_result.finished.get("flood", 0)
     return {
         "deployment": deployment,
         "policy": policy,
         "urgent": len(waits),
-        "within 1.8 s": round(1 - late / len(waits), 5),
+        "within 1.8 s": round(1 - late_count / len(waits), 5),
         "median ms": round(percentile(waits, 0.5) * 1000, 1),
-        "p99 calm ms": round(quiet * 1000, 1),
-        "p99 flood ms": round(loud * 1000, 1),
-        "ratio": round(loud / quiet, 2) if quiet else (1.0 if not loud else math.inf),
-        "paper done": done + full.finished.get("paper", 0),
+        "p99 calm ms": round(calm_p99_s * 1000, 1),
+        "p99 flood ms": round(flood_p99_s * 1000, 1),
+        "ratio": round(flood_p99_s / calm_p99_s, 2)
+        if calm_p99_s
+        else (1.0 if not flood_p99_s else math.inf),
+        "paper done": done + flood_result.finished.get("paper", 0),
         "flood done": f"{done}/{flood}",
-        "flood ended s": round(full.last_finish.get("flood", 0.0) - FLOOD_AT, 1)
+        "flood ended s": round(
+            flood_result.last_finish_s.get("flood", 0.0) - FLOOD_START_S, 1
+        )
         if done == flood
         else 0.0,
     }
@@ -214,7 +244,7 @@
 # Packing of accelerator hosts
 
 
-def packing_cell(hosts: int) -> Cell:
+def create_packing_cell(hosts: int) -> Cell:
     pool = "cpu = 128\nmemory_gib = 512\naccelerators = 8"
     work = ""
     for size in (1, 2, 4):
@@ -222,12 +252,16 @@
             f"{{ cpu = {3 * size}, memory_gib = {12 * size}, accelerators = {size} }}"
         )
         keys = {"demand": demand, "run_time_s": 60, "checkpoint": size == 1}
-        work += _workload_table("batch", f"single{size}", "layouts", "standard", **keys)
+        work += _format_workload_table(
+            "batch", f"single{size}", "layouts", "standard", **keys
+        )
     demand = "{ cpu = 3, memory_gib = 12, accelerators = 1 }"
     for size in (4, 8, 16):
         keys = {"demand": demand, "run_time_s": 90, "size": size}
-        work += _workload_table("gangs", f"gang{size}", "layouts", "standard", **keys)
-    return _parse_bench_cell(pool, _host_tables(hosts, 3), {"layouts": 1}, work)
+        work += _format_workload_table(
+            "gangs", f"gang{size}", "layouts", "standard", **keys
+        )
+    return _parse_bench_cell(pool, _format_host_tables(hosts, 3), {"layouts": 1}, work)
 
 
 # Fraction of arrivals by workload.
@@ -241,7 +275,7 @@
 }
 
 
-def packing_arrivals(cell: Cell, until: float) -> Iterator[Arrival]:
+def generate_packing_arrivals(cell: Cell, until: float) -> Iterator[Arrival]:
     """Yield an initial backlog, then 1.3 times the work that the hosts can run."""
     rng = random.Random(SEED)
     hosts = sum(1 for _ in cell.hosts())
@@ -252,36 +286,38 @@
     rate = hosts * 8 / mean
     backlog = [0.0] * (hosts * 30)
     names, parts = list(ARRIVAL_MIX), list(ARRIVAL_MIX.values())
-    times = [*backlog, *poisson(rng, rate * 1.3, until)]
+    times = [*backlog, *generate_poisson_arrivals(rng, rate * 1.3, until)]
     for number, at in enumerate(times):
         name = rng.choices(names, parts)[0]
         yield at, Item(f"{name}/{number}", cell.workloads[name], at)
 
 
-def run_packing(policy: str, hosts: int, until: float) -> Result:
-    cell = packing_cell(hosts)
+def run_packing(policy: str, hosts: int, until: float) -> RunResult:
+    cell = create_packing_cell(hosts)
     rng = random.Random(SEED)
     usage_factors = {name: 4 ** rng.uniform(-1, 1) for name in ARRIVAL_MIX}
     usage_factors["single1"], usage_factors["gang8"] = 4.0, 0.25
     run_time_factors = {name: 4 ** rng.uniform(-1, 1) for name in ARRIVAL_MIX}
 
-    def seconds(item: Item) -> float:
+    def draw_run_time(item: Item) -> float:
         own = random.Random(f"{SEED}{item.key}")
-        return _lognormal_time(
+        return _draw_lognormal_time(
             own, item.workload.run_time * run_time_factors[item.workload.name], 0.6
         )
 
-    def usage(item: Item) -> tuple[int, int]:
+    def draw_usage(item: Item) -> tuple[int, int]:
         own = random.Random(f"{SEED}{item.key}u")
         factor = usage_factors[item.workload.name] * own.uniform(0.85, 1.0)
         need = item.workload.demand
         return round(need.cpu_milli * factor), round(need.memory_mib * factor)
 
-    driver = Driver(create_policy(policy, cell), cell, seconds, usage, warm=600.0)
-    return driver.run(packing_arrivals(cell, until), until)
+    driver = Driver(
+        create_policy(policy, cell), cell, draw_run_time, draw_usage, warm_up_s=600.0
+    )
+    return driver.run(generate_packing_arrivals(cell, until), until)
 
 
-def packing_rows(
+def measure_packing(
     pool: Executor, until: float, sizes: tuple[int, ...]
 ) -> list[dict[str, Any]]:
     runs = {
@@ -312,49 +348,55 @@
 # Fair shares between owners
 
 # Share weight by owner.
-WEIGHTS = {"a": 1.0, "b": 2.0, "c": 3.0, "d": 4.0}
+OWNER_WEIGHTS = {"a": 1.0, "b": 2.0, "c": 3.0, "d": 4.0}
 
 
-def share_cell() -> Cell:
+def create_share_cell() -> Cell:
     pool = "cpu = 128\nmemory_gib = 512\naccelerators = 8"
     work = ""
-    for owner in WEIGHTS:
+    for owner in OWNER_WEIGHTS:
         demand = "{ cpu = 3, memory_gib = 12, accelerators = 1 }"
         keys = {"demand": demand, "run_time_s": 20, "queue_limit": 100000}
-        work += _workload_table("batch", f"work-{owner}", owner, "standard", **keys)
-    return _parse_bench_cell(pool, _host_tables(12, 3), WEIGHTS, work)
+        work += _format_workload_table(
+            "batch", f"work-{owner}", owner, "standard", **keys
+        )
+    return _parse_bench_cell(pool, _format_host_tables(12, 3), OWNER_WEIGHTS, work)
 
 
-def share_rows(until: float) -> list[dict[str, Any]]:
+def measure_share_errors(until: float) -> list[dict[str, Any]]:
     rows = []
     for policy in POLICIES:
-        cell = share_cell()
+        cell = create_share_cell()
         rng = random.Random(SEED)
         items = [
             (0.0, Item(f"work-{o}/{i}", cell.workloads[f"work-{o}"], 0.0))
             for i in range(int(until / 20 * 96))
-            for o in WEIGHTS
+            for o in OWNER_WEIGHTS
         ]
         rng.shuffle(items)
 
-        def seconds(item: Item) -> float:
-            return _lognormal_time(random.Random(f"{SEED}{item.key}"), 20.0)
+        def draw_run_time(item: Item) -> float:
+            return _draw_lognormal_time(random.Random(f"{SEED}{item.key}"), 20.0)
 
-        driver = Driver(create_policy(policy, cell), cell, seconds, _declared_usage)
-        result = driver.run(iter(items), until, sample=1.0)
-        rows.append({"policy": policy, "worst error": _share_error(result, 600.0)})
+        driver = Driver(
+            create_policy(policy, cell), cell, draw_run_time, _get_declared_usage
+        )
+        result = driver.run(iter(items), until, sample_interval_s=1.0)
+        rows.append(
+            {"policy": policy, "worst error": _compute_share_error(result, 600.0)}
+        )
     return rows
 
 
-def _share_error(result: Result, window: float) -> float:
+def _compute_share_error(result: RunResult, window: float) -> float:
     """Return the largest deviation of an owner's mean share from its fair share.
 
     The mean is taken over windows of ``window`` seconds, one starting each minute.
     """
-    total = sum(WEIGHTS.values())
+    total = sum(OWNER_WEIGHTS.values())
     count = int(window)
     worst = 0.0
-    for owner, weight in WEIGHTS.items():
+    for owner, weight in OWNER_WEIGHTS.items():
         fractions = [line.get(owner, 0.0) / 96 for _, line in result.shares]
         for start in range(0, len(fractions) - count + 1, 60):
             mean = sum(fractions[start : start + count]) / count
@@ -365,16 +407,16 @@
 # Time per decision
 
 
-def decision_rows(scales: tuple[int, ...] = (1, 10)) -> list[dict[str, Any]]:
-    return [_decision_row(scale) for scale in scales]
+def measure_decision_times(scales: tuple[int, ...] = (1, 10)) -> list[dict[str, Any]]:
+    return [_measure_decision_time(scale) for scale in scales]
 
 
-def _decision_row(scale: int) -> dict[str, Any]:
+def _measure_decision_time(scale: int) -> dict[str, Any]:
     hosts, running, waiting = 450 * scale, 1600 * scale, 10_000 * scale
     owners = {f"o{i}": 1.0 + i % 4 for i in range(58)}
     demand = "{ cpu = 7, memory_gib = 28 }"
     work = "".join(
-        _workload_table(
+        _format_workload_table(
             "batch",
             f"w{i}",
             f"o{i % 58}",
@@ -385,7 +427,7 @@
         for i in range(116)
     )
     cell = _parse_bench_cell(
-        "cpu = 32\nmemory_gib = 128", _host_tables(hosts, 5), owners, work
+        "cpu = 32\nmemory_gib = 128", _format_host_tables(hosts, 5), owners, work
     )
     policy = Scheduler(cell, random.Random(SEED), 0.0)
     policy.shard.admission_limit.limit = 1_000_000
@@ -393,23 +435,23 @@
         policy.add_host(host, 0.0)
         policy.host_event(host.name, "inventory", 0.0)
     rng = random.Random(SEED)
-    loads = list(cell.workloads.values())
-    for workload in loads:
+    workload_list = list(cell.workloads.values())
+    for workload in workload_list:
         for _ in range(8):
             need = workload.demand
             policy.shard.estimates.observe(
                 workload, 60.0, need.cpu_milli, need.memory_mib
             )
-    active: list[str] = []
+    running_keys: list[str] = []
     for i in range(running + waiting):
-        item = Item(f"i{i}", rng.choice(loads), 0.0)
+        item = Item(f"i{i}", rng.choice(workload_list), 0.0)
         for effect in policy.submit(item, 0.0):
             if isinstance(effect, StartTask):
-                active.append(effect.item.key)
-    times = _time_decisions(policy, active, loads, rng)
+                running_keys.append(effect.item.key)
+    times = _time_decisions(policy, running_keys, workload_list, rng)
     return {
         "hosts": hosts,
-        "running": len(active),
+        "running": len(running_keys),
         "waiting": len(policy.shard.waiting),
         "p50 us": round(percentile(times, 0.5) * 1e6),
         "p99 us": round(percentile(times, 0.99) * 1e6),
@@ -418,21 +460,24 @@
 
 
 def _time_decisions(
-    policy: Scheduler, active: list[str], loads: list[Any], rng: random.Random
+    policy: Scheduler,
+    running_keys: list[str],
+    workload_list: list[Any],
+    rng: random.Random,
 ) -> list[float]:
-    """Return the seconds of 4000 submissions and ends of items, in alternation."""
+    """Time 4000 submissions and ends of items, in alternation; return seconds."""
     times = []
     now = 1.0
     for i in range(4000):
         now += 0.0005
-        item = Item(f"n{i}", rng.choice(loads), now)
-        key = active.pop(rng.randrange(len(active)))
+        item = Item(f"n{i}", rng.choice(workload_list), now)
+        key = running_keys.pop(rng.randrange(len(running_keys)))
         began = time.perf_counter()
         effects = policy.submit(item, now)
         middle = time.perf_counter()
         effects += policy.record_attempt_end(key, 0, End.DONE, now)
         times += [middle - began, time.perf_counter() - middle]
-        active += [e.item.key for e in effects if isinstance(e, StartTask)]
+        running_keys += [e.item.key for e in effects if isinstance(e, StartTask)]
     return times
 
 
@@ -452,20 +497,28 @@
         if row["policy"] != "siskinroad":
             continue
         where = row["deployment"]
-        part, median = row["within 1.8 s"], row["median ms"]
-        add(f"{where}: urgent within 1.8 s >= 0.999", part, part >= URGENT_FRACTION)
-        add(f"{where}: median <= 50 ms", median, median <= URGENT_MEDIAN * 1000)
+        fraction, median = row["within 1.8 s"], row["median ms"]
+        add(
+            f"{where}: urgent within 1.8 s >= 0.999",
+            fraction,
+            fraction >= MIN_URGENT_FRACTION,
+        )
+        add(f"{where}: median <= 50 ms", median, median <= MAX_URGENT_MEDIAN_S * 1000)
         ratio, rate = row["ratio"], row["throughput"]
-        add(f"{where}: flood/calm p99 <= 1.2", ratio, ratio <= FLOOD_RATIO)
-        add(f"{where}: paper throughput >= 0.95", rate, rate >= THROUGHPUT)
+        add(f"{where}: flood/calm p99 <= 1.2", ratio, ratio <= MAX_FLOOD_RATIO)
+        add(f"{where}: paper throughput >= 0.95", rate, rate >= MIN_THROUGHPUT_RATIO)
     for row in found["packing"]:
         if row["policy"] == "siskinroad":
             packed = row["packing"]
-            add(f"{row['hosts']} hosts: packing >= 0.92", packed, packed >= PACKING)
+            add(
+                f"{row['hosts']} hosts: packing >= 0.92",
+                packed,
+                packed >= MIN_PACKING_RATIO,
+            )
             over = row["overfilled"]
             add(f"{row['hosts']} hosts: overfilled = 0", over, over == 0)
     error = found["shares"][0]["worst error"]
-    add("share error <= 0.02", error, error <= SHARE_ERROR)
+    add("share error <= 0.02", error, error <= MAX_SHARE_ERROR)
     if "decisions" in found:
         _add_decision_targets(found["decisions"], add)
     return rows
@@ -475,13 +528,13 @@
     small = rows[0]
     add("decision p99 <= 5 ms", small["p99 us"] / 1000, small["p99 us"] <= 5000)
     rate = small["a second"]
-    add("decisions a second >= 2000", rate, rate >= DECISIONS_A_SECOND)
+    add("decisions a second >= 2000", rate, rate >= MIN_DECISIONS_PER_S)
     if len(rows) > 1:
         ratio = round(small["a second"] / rows[-1]["a second"], 2)
-        add("cost at 10 times the size <= 2", ratio, ratio <= GROWTH)
+        add("cost at 10 times the size <= 2", ratio, ratio <= MAX_COST_RATIO)
 
 
-def plotted_waits(policy: str) -> list[float]:
+def measure_plotted_waits(policy: str) -> list[float]:
     """Return the waits of urgent requests during a small flood, in seconds."""
     return run_urgent("stanova booking", policy, *PLOTTED_FLOOD).waits["quote"]
 
@@ -490,11 +543,11 @@
     """Run all benchmarks; ``quick`` has a smaller flood, shorter runs, no timing."""
     flood, until = (4000, 400.0) if quick else (FLOOD_ITEMS, 1500.0)
     span, sizes = (2400.0, (7,)) if quick else (7200.0, (7, 78))
-    found = {} if quick else {"decisions": decision_rows()}
+    found = {} if quick else {"decisions": measure_decision_times()}
     with ProcessPoolExecutor() as pool:
-        found["urgent"] = urgent_rows(pool, flood, until)
-        found["packing"] = packing_rows(pool, span, sizes)
-    found["shares"] = share_rows(1200.0 if quick else 2400.0)
+        found["urgent"] = measure_urgent_waits(pool, flood, until)
+        found["packing"] = measure_packing(pool, span, sizes)
+    found["shares"] = measure_share_errors(1200.0 if quick else 2400.0)
     found["targets"] = compare_with_targets(found)
     return found
 
@@ -511,7 +564,7 @@
         # Imported here because only plotting needs matplotlib.
         from bench.plots import plot_waits
 
-        waits = {policy: plotted_waits(policy) for policy in POLICIES}
+        waits = {policy: measure_plotted_waits(policy) for policy in POLICIES}
         plot_waits(args[args.index("--plot") + 1], waits)
     return 0 if all(row["met"] == "yes" for row in found["targets"]) else 1
 
--- a/bench/driver.py
+++ b/bench/driver.py
@@ -17,19 +17,23 @@
 from siskinroad.queues import Item
 from siskinroad.upstreams import Control, Usage
 
-# Seconds between usage reports of a host, and until one reaches the policy.
-REPORT_INTERVAL = 2.0
-REPORT_LAG = 2.0
+# Seconds between usage reports of a host.
+REPORT_INTERVAL_S = 2.0
+# Seconds until a usage report reaches the policy.
+REPORT_DELAY_S = 2.0
 # Seconds between ticks of the policy.
-TICK_INTERVAL = 0.25
+TICK_INTERVAL_S = 0.25
 
-# Time in seconds, item.
+# Arrival time in seconds, and the item that arrives.
 Arrival = tuple[float, Item]
 
 
 @dataclass
 class _Task:
-    """Running member of an item: seconds, MiB, thousandths of a processor."""
+    """Running member of an item; times in seconds.
+
+    ``cpu`` is in thousandths of a processor, ``memory`` in MiB.
+    """
 
     item: Item
     member: int
@@ -37,13 +41,13 @@
     ends_at: float
     cpu: int
     memory: int
-    began: float
-    alive: bool = True
+    started_at: float
+    is_running: bool = True
     throttled: bool = False
 
 
 @dataclass
-class Result:
+class RunResult:
     """Measurements of one run; times in seconds.
 
     Attributes
@@ -53,12 +57,13 @@
     overfilled : int
         Starts after which the true usage exceeded the capacity of the host.
     shares : list of tuple
-        Time, and the accelerators in use by owner; a task without any counts as 1.
+        Time, and the number of accelerators in use by owner; a task that needs none
+        counts as 1.
     """
 
     waits: dict[str, list[float]] = field(default_factory=dict)
     finished: dict[str, int] = field(default_factory=dict)
-    last_finish: dict[str, float] = field(default_factory=dict)
+    last_finish_s: dict[str, float] = field(default_factory=dict)
     refused: int = 0
     overfilled: int = 0
     accelerator_seconds: float = 0.0
@@ -75,11 +80,11 @@
     policy : object
         A ``Scheduler`` or a baseline.
     run_time : callable
-        Returns the true run time of an item in seconds; an item that resumes from a
-        checkpoint runs for the remaining time.
+        Returns the true run time of an item in seconds. An item that resumes
+        from a checkpoint runs for the remaining time instead.
     usage : callable
         Returns the true processor (thousandths) and memory (MiB) usage of a member.
-    warm : float
+    warm_up_s : float
         Length of the warm-up in seconds; waits and accelerator time before its end
         are not counted.
     """
@@ -90,20 +95,20 @@
         cell: Cell,
         run_time: Callable[[Item], float],
         usage: Callable[[Item], tuple[int, int]],
-        warm: float = 0.0,
+        warm_up_s: float = 0.0,
     ) -> None:
         self.policy = policy
         self.cell = cell
         self.run_time = run_time
         self.usage = usage
-        self.warm = warm
-        self.result = Result()
+        self.warm_up_s = warm_up_s
+        self.result = RunResult()
         self.tasks: dict[tuple[str, int], _Task] = {}
         self.remaining_s: dict[str, float] = {}
         self.tasks_by_host: dict[str, dict[tuple[str, int], _Task]] = {}
         self.allocated: dict[str, float] = {}
         self._events: list[tuple[float, int, str, Any]] = []
-        self._event_number = itertools.count()
+        self._event_numbers = itertools.count()
         self._reports: dict[str, list] = {}
         self.now = 0.0
         for host in cell.hosts():
@@ -112,18 +117,18 @@
             self.tasks_by_host[host.name] = {}
 
     def run(
-        self, arrivals: Iterator[Arrival], until: float, sample: float = 0.0
-    ) -> Result:
-        """Run until a time.
+        self, arrivals: Iterator[Arrival], until: float, sample_interval_s: float = 0.0
+    ) -> RunResult:
+        """Run from time 0 until ``until``, in seconds.
 
-        ``sample`` is the interval in seconds at which ``Result.shares`` is recorded;
-        0 records nothing.
+        ``sample_interval_s`` is the interval in seconds at which ``shares`` of the
+        result are recorded; 0 records none.
         """
         self._push_next_arrival(arrivals)
-        self._push_event(TICK_INTERVAL, "tick", None)
-        self._push_event(REPORT_INTERVAL, "report", None)
-        if sample:
-            self._push_event(sample, "sample", sample)
+        self._push_event(TICK_INTERVAL_S, "tick", None)
+        self._push_event(REPORT_INTERVAL_S, "report", None)
+        if sample_interval_s:
+            self._push_event(sample_interval_s, "sample", sample_interval_s)
         while self._events and self._events[0][0] <= until:
             self.now, _, kind, data = heapq.heappop(self._events)
             # Calls the _on_* method named by the kind of event.
@@ -134,7 +139,7 @@
         return self.result
 
     def _push_event(self, time: float, kind: str, data: Any) -> None:
-        heapq.heappush(self._events, (time, next(self._event_number), kind, data))
+        heapq.heappush(self._events, (time, next(self._event_numbers), kind, data))
 
     def _push_next_arrival(self, arrivals: Iterator[Arrival]) -> None:
         arrival = next(arrivals, None)
@@ -148,11 +153,11 @@
         self._apply_effects(self.policy.submit(item, self.now))
 
     def _on_tick(self, _: None) -> None:
-        self._push_event(self.now + TICK_INTERVAL, "tick", None)
+        self._push_event(self.now + TICK_INTERVAL_S, "tick", None)
         self._apply_effects(self.policy.tick(self.now))
 
     def _on_report(self, _: None) -> None:
-        self._push_event(self.now + REPORT_INTERVAL, "report", None)
+        self._push_event(self.now + REPORT_INTERVAL_S, "report", None)
         reports = {}
         for host, tasks in self.tasks_by_host.items():
             reports[host] = [
@@ -160,24 +165,24 @@
                 for key, task in tasks.items()
                 if task.item.workload.kind != "service"
             ]
-        self._push_event(self.now + REPORT_LAG, "lagged", reports)
+        self._push_event(self.now + REPORT_DELAY_S, "lagged", reports)
 
     def _on_lagged(self, reports: dict[str, list]) -> None:
         for host, lines in reports.items():
             if lines:
                 self._apply_effects(self.policy.apply_usage(host, lines, self.now))
 
-    def _on_sample(self, every: float) -> None:
-        self._push_event(self.now + every, "sample", every)
+    def _on_sample(self, interval_s: float) -> None:
+        self._push_event(self.now + interval_s, "sample", interval_s)
         self.result.shares.append((self.now, dict(self.allocated)))
 
     def _on_end(self, task: _Task) -> None:
-        if not task.alive or self.now < task.ends_at - 1e-9:
+        if not task.is_running or self.now < task.ends_at - 1e-9:
             return
         self._finish_task(task, End.DONE)
 
     def _finish_task(self, task: _Task, end: End) -> None:
-        task.alive = False
+        task.is_running = False
         key = (task.item.key, task.member)
         del self.tasks[key]
         del self.tasks_by_host[task.host][key]
@@ -186,16 +191,16 @@
         if end is End.CHECKPOINTED:
             self.remaining_s[task.item.key] = max(task.ends_at - self.now, 0.0)
         self.result.decisions += 1
-        seconds = self.now - task.began
+        elapsed_s = self.now - task.started_at
         usage = Usage(task.cpu, task.memory)
         self._apply_effects(
-            self.policy.record_attempt_end(*key, end, self.now, seconds, usage)
+            self.policy.record_attempt_end(*key, end, self.now, elapsed_s, usage)
         )
 
     def _add_accelerator_time(self, task: _Task) -> None:
-        began = max(task.began, self.warm)
+        started_at = max(task.started_at, self.warm_up_s)
         count = task.item.workload.demand.accelerators
-        self.result.accelerator_seconds += max(0.0, self.now - began) * count
+        self.result.accelerator_seconds += max(0.0, self.now - started_at) * count
 
     def _update_allocation(self, task: _Task, sign: int) -> None:
         owner = task.item.workload.owner
@@ -215,11 +220,11 @@
                     name = effect.item.workload.name
                     done = self.result.finished
                     done[name] = done.get(name, 0) + 1
-                    self.result.last_finish[name] = self.now
+                    self.result.last_finish_s[name] = self.now
 
     def _start_tasks(self, effect: StartTask) -> None:
         item = effect.item
-        if item.tries == 1 and self.now >= self.warm:
+        if item.tries == 1 and self.now >= self.warm_up_s:
             waits = self.result.waits.setdefault(item.workload.name, [])
             waits.append(self.now - item.enqueued)
         seconds = self.remaining_s.pop(item.key, None)
@@ -241,11 +246,11 @@
         host_capacity = self.cell.pools[pool].capacity
         memory = sum(task.memory for task in tasks)
         accelerators = sum(task.item.workload.demand.accelerators for task in tasks)
-        full = (
+        is_overfilled = (
             memory > host_capacity.memory_mib
             or accelerators > host_capacity.accelerators
         )
-        if full or len(tasks) > host_capacity.slots:
+        if is_overfilled or len(tasks) > host_capacity.slots:
             self.result.overfilled += 1
 
     def _control_task(self, effect: ControlTask) -> None:
@@ -260,16 +265,18 @@
                 self._push_event(self.now + 0.05, "stop", task)
 
     def _on_checkpoint(self, task: _Task) -> None:
-        if task.alive:
+        if task.is_running:
             self._finish_task(task, End.CHECKPOINTED)
 
     def _on_stop(self, task: _Task) -> None:
-        if task.alive:
+        if task.is_running:
             self._finish_task(task, End.STOPPED)
 
 
-def poisson(rng: random.Random, rate: float, until: float) -> Iterator[float]:
-    """Yield the arrival instants of a Poisson process; ``rate`` is per second."""
+def generate_poisson_arrivals(
+    rng: random.Random, rate: float, until: float
+) -> Iterator[float]:
+    """Yield the arrival times of a Poisson process; ``rate`` is per second."""
     now = 0.0
     while True:
         now += rng.expovariate(rate)
@@ -278,19 +285,20 @@
         yield now
 
 
-def bursts(
-    rng: random.Random, rate: float, until: float, every: float, times: float
+def generate_bursty_arrivals(
+    rng: random.Random, rate: float, until: float, period_s: float, burst_factor: float
 ) -> Iterator[float]:
-    """Yield arrival instants with a burst of ``times`` the mean rate in each period.
+    """Yield arrival times with one burst per period, in seconds.
 
-    A period takes ``every`` seconds, a burst its first tenth. The rate between the
-    bursts is lowered, so that the mean stays ``rate`` per second.
+    A period takes ``period_s`` seconds, and the burst is its first tenth, with
+    ``burst_factor`` times the mean rate. The rate between the bursts is lowered, so
+    that the mean stays ``rate`` per second.
     """
-    low = rate * (10 - times) / 9
+    base_rate = rate * (10 - burst_factor) / 9
     now = 0.0
     while True:
-        burst = now % every < every / 10
-        now += rng.expovariate(rate * times if burst else low)
+        is_burst = now % period_s < period_s / 10
+        now += rng.expovariate(rate * burst_factor if is_burst else base_rate)
         if now > until:
             return
         yield now
--- a/bench/faults.py
+++ b/bench/faults.py
@@ -16,18 +16,18 @@
 
 T = TypeVar("T")
 
-NAMES = ["east-1a", "east-1b", "east-1c", "west-1a", "west-1b"]
+DAEMON_NAMES = ["east-1a", "east-1b", "east-1c", "west-1a", "west-1b"]
 # Mean number of service requests per second.
 REQUEST_RATE = 12.0
 # Longest duration of a fault, in seconds.
-MAX_FAULT_TIME = 8.0
+MAX_FAULT_TIME_S = 8.0
 # Seconds during which requests are sent.
-LOAD_TIME = 22.0
-# Seconds after the end of all faults within which accepted jobs must end.
-RECOVERY_TIME = 75.0
-JOB_TASKS = 6
+LOAD_TIME_S = 22.0
+# Seconds within which accepted jobs must end after the end of all faults.
+RECOVERY_TIME_S = 75.0
+TASKS_PER_JOB = 6
 # Seconds of loop time after which a session counts as hung.
-MAX_TIME = 400.0
+MAX_SESSION_TIME_S = 400.0
 
 Fault = Callable[["Session"], Awaitable[None]]
 
@@ -47,7 +47,7 @@
     def __init__(self, seed: int, faults: list[str], fencing: bool = False) -> None:
         self.rng = random.Random(seed)
         self.faults = faults
-        self.world = World(small_cell(fencing=fencing), list(NAMES), seed)
+        self.world = World(small_cell(fencing=fencing), list(DAEMON_NAMES), seed)
         self.observations = Observations()
         self.request_count = 0
         self.latest_revision = 0
@@ -59,14 +59,14 @@
     async def run(self) -> list[str]:
         await self.world.start_and_configure()
         self.latest_revision = 1
-        watcher = asyncio.create_task(self._record_revisions())
+        revision_recorder = asyncio.create_task(self._record_revisions())
         async with asyncio.TaskGroup() as group:
             group.create_task(self._send_requests())
             group.create_task(self._submit_jobs())
             for name in self.faults:
                 group.create_task(self._inject_fault(name))
         await self._recover()
-        watcher.cancel()
+        revision_recorder.cancel()
         return (
             check_invariants(self.observations, self.world.memory_hosts)
             + self._find_stale_daemons()
@@ -77,7 +77,7 @@
         await FAULTS[name](self)
 
     async def _send_requests(self) -> None:
-        until = self.now() + LOAD_TIME
+        until = self.now() + LOAD_TIME_S
         async with asyncio.TaskGroup() as group:
             while self.now() < until:
                 await asyncio.sleep(self.rng.expovariate(REQUEST_RATE))
@@ -90,7 +90,7 @@
     async def call_daemon(
         self, daemon: Daemon, call: Coroutine[Any, Any, T]
     ) -> T | None:
-        """Return the result of a call on a daemon, None if it is killed meanwhile."""
+        """Await a call on a daemon; return None if the daemon is killed meanwhile."""
         name = daemon.cfg.name
         task = asyncio.create_task(call)
         self.pending_calls.setdefault(name, set()).add(task)
@@ -121,7 +121,7 @@
         request.answered_at = self.now()
         self.observations.requests.append(request)
         if key and self.rng.random() < 0.3 and request.status != 200:
-            request.repeated = True
+            request.was_repeated = True
             await self._repeat_request(service, body, key)
 
     async def _repeat_request(self, service: str, body: bytes, key: str) -> None:
@@ -138,10 +138,10 @@
         for number in range(5):
             await asyncio.sleep(self.rng.uniform(0.5, 3.0))
             workload = self.rng.choice(["recount", "recount", "render"])
-            count = JOB_TASKS if workload == "recount" else 1
-            await self._submit_job(workload, count, f"job-{number}")
+            count = TASKS_PER_JOB if workload == "recount" else 1
+            await self.submit_job(workload, count, f"job-{number}")
 
-    async def _submit_job(self, workload: str, count: int, key: str) -> str:
+    async def submit_job(self, workload: str, count: int, key: str) -> str:
         if not self.world.daemons:
             return ""
         daemon = self.world.daemons[self.rng.choice(sorted(self.world.daemons))]
@@ -182,18 +182,18 @@
                 memory_host.faults.loses_replies
             ) = False
             memory_host.faults.failing = False
-        for name in NAMES:
+        for name in DAEMON_NAMES:
             if name not in world.daemons:
                 world.start(name)
-        self.healed_at = self.now()
-        until = self.now() + RECOVERY_TIME
+        self.faults_ended_at = self.now()
+        until = self.now() + RECOVERY_TIME_S
         while (
             self.now() < until
             and set(self.observations.accepted) - self.observations.settled
         ):
             await asyncio.sleep(1.0)
             await self._record_settled_jobs()
-        await asyncio.sleep(max(0.0, self.healed_at + 10.0 - self.now()))
+        await asyncio.sleep(max(0.0, self.faults_ended_at + 10.0 - self.now()))
 
     async def _record_settled_jobs(self) -> None:
         for job in set(self.observations.accepted) - self.observations.settled:
@@ -211,7 +211,8 @@
         Called at the earliest 10 s after all faults have ended.
         """
         return [
-            f"{name} is at old revision {daemon.configuration.revision} after recovery"
+            f"{name} is still at revision {daemon.configuration.revision} "
+            "after recovery"
             for name, daemon in self.world.daemons.items()
             if daemon.configuration.revision < self.latest_revision
         ]
@@ -224,11 +225,11 @@
         return self.world.memory_hosts[self.rng.choice(sorted(self.world.memory_hosts))]
 
     async def pause(self) -> None:
-        await asyncio.sleep(self.rng.uniform(0.5, MAX_FAULT_TIME))
+        await asyncio.sleep(self.rng.uniform(0.5, MAX_FAULT_TIME_S))
 
 
-# Injected faults, one function each. The function names are the keys of FAULTS, whose
-# sorted order decides which seed a combination gets: renaming one changes the runs.
+# Injected faults, one function each. Do not rename them: the sorted order of their
+# names decides which seed a combination of faults gets.
 
 
 async def kill(session: Session) -> None:
@@ -246,7 +247,7 @@
     for name in list(session.world.daemons):
         await session.kill(name)
     await asyncio.sleep(0.5)
-    for name in NAMES:
+    for name in DAEMON_NAMES:
         if name not in session.world.daemons:
             session.world.start(name)
 
@@ -267,7 +268,7 @@
 async def held_calls(session: Session) -> None:
     """Hold the calls of a cut-off daemon to hosts, then deliver them.
 
-    Does nothing if the hosts do not fence.
+    Do nothing if the hosts do not fence.
     """
     name = session.pick_daemon()
     if not name or not session.world.cell.pools["booking"].fencing:
@@ -310,7 +311,7 @@
 
 
 async def host_fails_everything(session: Session) -> None:
-    """Let all tasks and requests on a host fail at once."""
+    """Let tasks and requests that start on a host fail at once."""
     memory_host = session.pick_host()
     memory_host.faults.failing = True
     await session.pause()
@@ -349,12 +350,12 @@
         if session.world.log.streams[CELL_STREAM].tail > before:
             trims[stream] = as_of
             trims[CELL_STREAM] = before
-    for stream, first in trims.items():
-        session.world.log.trim(stream, first)
+    for stream, first_offset in trims.items():
+        session.world.log.trim(stream, first_offset)
 
 
-async def _cut_links(session: Session, left: list[str], right: list[str]) -> None:
-    pairs = {(a, b) for a in left for b in right}
+async def _cut_links(session: Session, side_a: list[str], side_b: list[str]) -> None:
+    pairs = {(a, b) for a in side_a for b in side_b}
     pairs |= {(b, a) for a, b in pairs}
     session.world.network.faults.cut |= pairs
     await session.pause()
@@ -362,37 +363,37 @@
 
 
 async def regions_part(session: Session) -> None:
-    await _cut_links(session, NAMES[:3], NAMES[3:])
+    await _cut_links(session, DAEMON_NAMES[:3], DAEMON_NAMES[3:])
 
 
 async def centre_splits(session: Session) -> None:
-    """Cut one daemon from the peers of its data centre.
+    """Cut one daemon off the other daemons of its data centre.
 
-    With probability 0.5 it is cut from the log too, and each link between a daemon
-    and one of three hosts of the data centre with probability 0.25.
+    With probability 0.5 it is cut off the log too. Each link between a daemon of the
+    data centre and one of three of its hosts is cut with probability 0.25.
     """
     name = session.pick_daemon("east")
     if not name:
         return
-    others = [x for x in NAMES if x.startswith("east") and x != name]
+    others = [x for x in DAEMON_NAMES if x.startswith("east") and x != name]
     faults = session.world.log.faults
-    cut_log = session.rng.random() < 0.5
-    hosts = {
+    is_log_cut = session.rng.random() < 0.5
+    blocked_pairs = {
         (daemon_name, host)
         for host in ("e0", "e1", "e2")
         for daemon_name in (name, *others)
         if session.rng.random() < 0.25
     }
-    if cut_log:
+    if is_log_cut:
         faults.cut.add(name)
-    session.world.blocked_calls |= hosts
+    session.world.blocked_calls |= blocked_pairs
     await _cut_links(session, [name], others)
-    session.world.blocked_calls -= hosts
+    session.world.blocked_calls -= blocked_pairs
     faults.cut.discard(name)
 
 
 async def centre_without_platform(session: Session) -> None:
-    names = [name for name in NAMES if name.startswith("east")]
+    names = [name for name in DAEMON_NAMES if name.startswith("east")]
     session.world.log.faults.cut |= set(names)
     await session.pause()
     session.world.log.faults.cut -= set(names)
@@ -400,11 +401,11 @@
 
 async def one_way(session: Session) -> None:
     """Drop the messages from one daemon to another, but not those back."""
-    a, b = session.pick_daemon("east"), session.pick_daemon("east")
-    if a and b and a != b:
-        session.world.network.faults.cut.add((a, b))
+    sender, receiver = session.pick_daemon("east"), session.pick_daemon("east")
+    if sender and receiver and sender != receiver:
+        session.world.network.faults.cut.add((sender, receiver))
         await session.pause()
-        session.world.network.faults.cut.discard((a, b))
+        session.world.network.faults.cut.discard((sender, receiver))
 
 
 async def bad_links(session: Session) -> None:
@@ -417,7 +418,7 @@
 
 async def cancel_wave(session: Session) -> None:
     """Submit a job of 40 tasks and cancel it within 2 s."""
-    job = await session._submit_job("recount", 40, "wave")
+    job = await session.submit_job("recount", 40, "wave")
     if not job:
         return
     await asyncio.sleep(session.rng.uniform(0.1, 2.0))
@@ -459,7 +460,7 @@
 
 
 async def host_leaves(session: Session) -> None:
-    """List a host as leaving for 8 s; does nothing beside other faults."""
+    """List a host as leaving for 8 s; do nothing beside other faults."""
     memory_host = session.pick_host()
     centre = "east-1" if memory_host.name.startswith("e") else "west-1"
     if session.faults != ["host_leaves"]:
@@ -474,11 +475,11 @@
 
 
 async def rolling_replacement(session: Session) -> None:
-    """Drain and restart each daemon in turn; does nothing beside other faults."""
+    """Drain and restart all daemons in turn; do nothing beside other faults."""
     if session.faults != ["rolling_replacement"]:
         return
     session.observations.must_answer = True
-    for name in NAMES:
+    for name in DAEMON_NAMES:
         daemon = session.world.daemons[name]
         del session.world.daemons[name]
         await daemon.drain()
@@ -521,12 +522,15 @@
     async def main() -> list[str]:
         session = Session(seed, faults, fencing)
         try:
-            async with asyncio.timeout(MAX_TIME):
+            async with asyncio.timeout(MAX_SESSION_TIME_S):
                 return await session.run()
         except TimeoutError:
-            waiting = [
+            pending = [
                 task for tasks in session.pending_calls.values() for task in tasks
             ]
-            return [f"{len(waiting)} requests still pending after {MAX_TIME} s"]
+            return [
+                f"{len(pending)} calls to daemons still pending "
+                f"after {MAX_SESSION_TIME_S} s of loop time"
+            ]
 
     return run_on_paused_clock(main())
--- a/bench/golden.py
+++ b/bench/golden.py
@@ -19,7 +19,7 @@
 ROOT = Path(__file__).parent.parent
 GOLDEN = ROOT / "tests" / "golden"
 # Mean run time of a request in seconds, by service.
-REQUEST_SECONDS = {
+REQUEST_TIME_S = {
     "quotes": 0.1,
     "slot-check": 0.1,
     "crew-dispatch": 0.1,
@@ -28,7 +28,7 @@
 
 
 class _BufferWriter:
-    """Stream writer that keeps the written bytes."""
+    """Stream writer that collects the written bytes in ``data``."""
 
     def __init__(self) -> None:
         self.data = bytearray()
@@ -41,14 +41,14 @@
 
 
 class Session:
-    """HTTP session with the daemons of one example cell, recorded as text lines."""
+    """Recorder of HTTP exchanges with the daemons of one example cell."""
 
     def __init__(self, cell: str, seed: int = 5) -> None:
         text = (ROOT / "examples" / f"{cell}.toml").read_text()
         centres = sorted(re.findall(r'data_centres = \["([^"]+)"\]', text))
         names = [f"{centre}{x}" for centre in centres for x in "ab"]
         self.world = World(text, names, seed)
-        self.world.run_time_s = REQUEST_SECONDS
+        self.world.run_time_s = REQUEST_TIME_S
         self.lines: list[str] = []
         self.default_daemon = names[0]
 
@@ -64,8 +64,8 @@
     ):
         """Send one request over an in-memory connection and record the exchange."""
         daemon = self.world.daemons[name or self.default_daemon]
-        operator = not target.startswith(("/v1/services", "/v1/jobs"))
-        handler = (OperatorApi if operator else CallerApi)(daemon).handle
+        is_operator_target = not target.startswith(("/v1/services", "/v1/jobs"))
+        handler = (OperatorApi if is_operator_target else CallerApi)(daemon).handle
         fields = {"host": "test", "content-length": str(len(body)), **headers}
         head = f"{method} {target} HTTP/1.1\r\n"
         head += "".join(f"{k.replace('_', '-')}: {v}\r\n" for k, v in fields.items())
@@ -77,14 +77,16 @@
         return self._record_exchange(method, target, body, headers, bytes(writer.data))
 
     def _record_exchange(self, method, target, body, headers, answer: bytes):
-        shown = f" ({len(body)} bytes)" if len(body) > 60 else f" {body.decode()}"
-        extra = "".join(f" [{k}: {v}]" for k, v in headers.items())
-        self.lines.append(f"> {method} {target}{extra}{shown if body else ''}")
+        body_note = f" ({len(body)} bytes)" if len(body) > 60 else f" {body.decode()}"
+        header_notes = "".join(f" [{k}: {v}]" for k, v in headers.items())
+        self.lines.append(
+            f"> {method} {target}{header_notes}{body_note if body else ''}"
+        )
         head, _, content = answer.partition(b"\r\n\r\n")
         status = head.split(b"\r\n")[0].decode()
-        retry_after = re.search(rb"retry-after: \d+", head)
-        if retry_after:
-            status += f" [{retry_after.group().decode()}]"
+        retry_after_match = re.search(rb"retry-after: \d+", head)
+        if retry_after_match:
+            status += f" [{retry_after_match.group().decode()}]"
         self.lines.append(f"< {status}")
         if content:
             self.lines += [f"  {line}" for line in content.decode().splitlines()]
@@ -97,6 +99,11 @@
 async def _run_session(
     cell: str, request: str, keyed: str, flood: str, gang: str
 ) -> str:
+    """Return the transcript of one session.
+
+    The arguments after ``cell`` name its workloads: an idempotent service, a service
+    that requires keys, a batch job and a gang.
+    """
     session = Session(cell)
     await session.open()
     session.add_heading("nothing is in force yet")
@@ -154,7 +161,7 @@
     return "\n".join(session.lines) + "\n"
 
 
-# By example cell: an idempotent service, one with keys, a batch job, a gang.
+# Workloads that the session of each example cell uses, as in _run_session.
 SESSIONS = {
     "stanova": ("quotes", "crew-dispatch", "fleet-recount", "festival-render"),
     "alrahma": ("slot-check", "booking", "archive", "identity-match"),
--- a/bench/invariants.py
+++ b/bench/invariants.py
@@ -1,4 +1,4 @@
-"""Checks of the invariants, from the observations of hosts, operators and callers."""
+"""Checks of the invariants, on what hosts, operators and callers observed."""
 
 from __future__ import annotations
 
@@ -8,13 +8,16 @@
 from siskinroad.resources import Resources
 from siskinroad.upstreams_memory import HostEvent, MemoryHost
 
-# Seconds after the host list shows a host as leaving in which it may still get tasks.
-LEAVING_TIME = 3.0
+# Seconds for which a host may still get tasks after it was first listed as leaving.
+LEAVING_GRACE_S = 3.0
 
 
 @dataclass
 class CallerRequest:
-    """Request of a caller and its answer or refusal; times in seconds of loop time."""
+    """Request of a caller with its answer or refusal; times in seconds of loop time.
+
+    ``status`` is 0 without an answer.
+    """
 
     body: bytes
     service: str
@@ -25,12 +28,12 @@
     reason: str = ""
     outcome: str = ""
     answered_at: float = 0.0
-    repeated: bool = False
+    was_repeated: bool = False
 
 
 @dataclass
 class Observations:
-    """Observations from outside the daemons; times in seconds of loop time.
+    """Observations made outside the daemons; times in seconds of loop time.
 
     Attributes
     ----------
@@ -39,15 +42,15 @@
     revisions : list of tuple
         Time, daemon, incarnation and revision, as an operator reads them.
     accepted : dict
-        Number of tasks of each job that was reported to its caller as accepted.
+        Number of tasks by job, for jobs that a caller was told are accepted.
     cancelled : dict
-        Time at which the cancellation of a job was confirmed.
+        Time at which the cancellation was confirmed, by job.
     settled : set of str
         Accepted jobs that have ended.
     leaving_periods : list of tuple
-        Host, and the times from and until which the host list showed it as leaving.
+        Host, and the start and end of the time in which it was listed as leaving.
     must_answer : bool
-        Every request must be answered, as in a rolling replacement.
+        Whether every request must be answered, as in a rolling replacement.
     """
 
     requests: list[CallerRequest] = field(default_factory=list)
@@ -65,7 +68,8 @@
     """Return a message for each violation of an invariant."""
     violations: list[str] = []
     events = sorted(
-        (e for w in memory_hosts.values() for e in w.events), key=_event_number
+        (event for host in memory_hosts.values() for event in host.events),
+        key=_event_number,
     )
     violations += _check_host_capacity(events, memory_hosts)
     violations += _check_single_placement(events)
@@ -127,7 +131,8 @@
     for request in observations.requests:
         if request.status == 200 and request.answer != request.body:
             violations.append(
-                f"request {request.body!r} got the answer {request.answer!r}"
+                f"request {request.body!r} got the answer {request.answer!r}, "
+                "expected its own body"
             )
         if request.status == 0 and not request.reason:
             violations.append(
@@ -152,16 +157,16 @@
 def _check_refused_not_run(
     observations: Observations, events: list[HostEvent]
 ) -> list[str]:
-    first: dict[bytes, float] = {}
+    first_starts: dict[bytes, float] = {}
     for event in events:
         if event.body and event.kind == "start":
-            first.setdefault(event.body, event.time)
+            first_starts.setdefault(event.body, event.time)
     violations = []
     for request in observations.requests:
-        started_at = first.get(request.body)
+        started_at = first_starts.get(request.body)
         if request.outcome != "not run" or started_at is None:
             continue
-        if started_at <= request.answered_at or not request.repeated:
+        if started_at <= request.answered_at or not request.was_repeated:
             violations.append(
                 f"request {request.body!r} was refused as not run "
                 f"({request.reason}) but ran"
@@ -189,7 +194,7 @@
     violations = []
     for host, since, until in observations.leaving_periods:
         for event in events:
-            is_late = since + LEAVING_TIME < event.time < until
+            is_late = since + LEAVING_GRACE_S < event.time < until
             if event.host == host and event.kind == "start" and is_late:
                 violations.append(
                     f"{host} got work {event.time - since:.1f} s "
@@ -212,7 +217,8 @@
 def _check_accepted_jobs(observations: Observations) -> list[str]:
     missing = set(observations.accepted) - observations.settled
     return [
-        f"accepted job {job} did not end before the run did" for job in sorted(missing)
+        f"accepted job {job} had not ended at the end of the run"
+        for job in sorted(missing)
     ]
 
 
--- a/bench/model.py
+++ b/bench/model.py
@@ -1,8 +1,8 @@
 """Exhaustive exploration of the ownership state machine on a small model.
 
 Three daemons and two shards, with time in steps of half a second. Every sequence of
-disturbances of a given length is tried. At each step, at most one daemon may place
-work on a shard, as the ownership state of each daemon says at the model's time.
+disturbances of a given length is tried. In each step it is checked that the ownership
+states of the daemons let at most one of them place work on a shard.
 """
 
 from __future__ import annotations
@@ -20,8 +20,8 @@
 NAMES = ("a", "b", "c")
 SHARDS = ("p/d/0", "p/d/1")
 # Seconds per step.
-STEP = 0.5
-# Steps after each disturbance, and further steps after the last one.
+STEP_S = 0.5
+# Steps after each disturbance, and additional steps after the last one.
 STEPS_BETWEEN = 2
 STEPS_AFTER = 12
 # Steps for which a paused daemon does nothing: 3.5 s, longer than a lease of 2 s.
@@ -30,12 +30,12 @@
 
 @dataclass
 class Node:
-    """Daemon of the model; ``paused`` is the number of steps left to pause."""
+    """Daemon of the model; it does nothing for the next ``pause_steps_left`` steps."""
 
     name: str
     incarnation: int = 1
     up: bool = True
-    paused: int = 0
+    pause_steps_left: int = 0
     ledger: Ledger = field(default_factory=Ledger)
     members: Membership = field(init=False)
     ownership: Ownership = field(init=False)
@@ -62,9 +62,9 @@
     one_way : set of tuple
         Sender and receiver of the links that drop messages in one direction.
     no_log : set of str
-        Daemons that reach no log.
+        Daemons that cannot reach the log.
     held_appends : list
-        Appends that ``hold_appends`` delays until ``heal``.
+        Appends that are not in the log yet, because ``is_holding_appends`` was set.
     """
 
     nodes: dict[str, Node] = field(default_factory=dict)
@@ -75,19 +75,19 @@
     no_log: set[str] = field(default_factory=set)
     lost_answers: int = 0
     held_appends: list[list[Record]] = field(default_factory=list)
-    delay_appends: bool = False
+    is_holding_appends: bool = False
 
     def step(self) -> None:
         """Advance by one step: read the log, exchange heartbeats, tick each daemon."""
-        self.now += STEP
+        self.now += STEP_S
         for node in self.nodes.values():
-            if node.up and not node.paused:
+            if node.up and not node.pause_steps_left:
                 self._apply_log(node)
                 self._send_heartbeats(node)
         for node in self.nodes.values():
-            if node.paused:
-                node.paused -= 1
-            if not node.up or node.paused:
+            if node.pause_steps_left:
+                node.pause_steps_left -= 1
+            if not node.up or node.pause_steps_left:
                 continue
             for msg in node.inbox:
                 node.members.record_heartbeat(msg, self.now)
@@ -140,7 +140,7 @@
     def _append(self, node: Node, record: Record) -> None:
         if node.name in self.no_log:
             return
-        if self.delay_appends:
+        if self.is_holding_appends:
             self.held_appends.append([record])
         else:
             self.log.append([record])
@@ -154,7 +154,7 @@
                 if node.up and node.ownership.may_place(shard, self.now)
             ]
             if len(placing_daemons) > 1:
-                return f"{shard} at {self.now}: {placing_daemons}"
+                return f"{shard} at {self.now} s: {placing_daemons} may all place work"
         return ""
 
     # Disturbances, called by the names in ACTIONS
@@ -167,7 +167,7 @@
         self.nodes[name] = Node(name, node.incarnation + 1)
 
     def pause(self, name: str) -> None:
-        self.nodes[name].paused = PAUSE_STEPS
+        self.nodes[name].pause_steps_left = PAUSE_STEPS
 
     def isolate(self, name: str) -> None:
         self.cut |= {frozenset((name, other)) for other in NAMES if other != name}
@@ -182,13 +182,13 @@
         self.no_log |= set(NAMES)
 
     def hold_appends(self) -> None:
-        self.delay_appends = True
+        self.is_holding_appends = True
 
     def heal(self) -> None:
         self.cut.clear()
         self.one_way.clear()
         self.no_log.clear()
-        self.delay_appends = False
+        self.is_holding_appends = False
         self.log += self.held_appends
         self.held_appends = []
 
@@ -225,15 +225,15 @@
     Raises
     ------
     AssertionError
-        With the sequence that lets two daemons place work on one shard.
+        If a sequence lets two daemons place work on one shard; the message gives both.
     """
     start = create_steady_state()
-    tried = 0
+    sequence_count = 0
     for sequence in itertools.product(actions or ACTIONS, repeat=depth):
-        tried += 1
+        sequence_count += 1
         conflict = run_sequence(start, sequence)
         assert not conflict, f"{sequence}: {conflict}"
-    return tried
+    return sequence_count
 
 
 def run_sequence(start: bytes, sequence: tuple[tuple[str, ...], ...]) -> str:
--- a/bench/plots.py
+++ b/bench/plots.py
@@ -29,7 +29,7 @@
     axes.set_xscale("log")
     axes.set_yscale("log")
     axes.set_xlabel("waiting time, s")
-    axes.set_ylabel("part of urgent requests that wait longer")
+    axes.set_ylabel("fraction of urgent requests that wait longer")
     axes.legend()
     figure.tight_layout()
     figure.savefig(path, dpi=90)
@@ -39,14 +39,14 @@
     """Plot the costs of an idle daemon process against the number of daemons."""
     rows = json.loads((DOCS / "processes.json").read_text())
     figure, axes = pyplot.subplots(1, 3, figsize=(10, 3.2))
-    count = [row["daemons"] for row in rows]
+    daemon_counts = [row["daemons"] for row in rows]
     panels = (
         ("core median", "core at rest", 0.011),
         ("MB median", "resident MB", 32.0),
         ("change in force s", "change in force, s", 10.0),
     )
     for axis, (key, title, bound) in zip(axes, panels, strict=True):
-        axis.plot(count, [row[key] for row in rows], marker="o")
+        axis.plot(daemon_counts, [row[key] for row in rows], marker="o")
         axis.axhline(bound, color="grey", linestyle=":")
         axis.set_title(title)
         axis.set_xlabel("daemons")
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -38,7 +38,7 @@
 DAEMONS_PER_CENTRE = 7
 CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
-# Time over which idle daemons are measured, in seconds
+# Seconds over which idle daemons are measured
 IDLE_TIME_S = 20.0
 
 
@@ -62,9 +62,9 @@
     Parameters
     ----------
     daemons : int
-        How many to start; each data centre has ``DAEMONS_PER_CENTRE`` of them.
+        Number of daemons; each data centre has ``DAEMONS_PER_CENTRE`` of them.
     folder : Path
-        Where their settings files are written.
+        Folder for their settings files.
     """
 
     def __init__(self, daemons: int, folder: Path) -> None:
@@ -156,7 +156,7 @@
         await self._wait_until(is_in_force_everywhere)
         return time.perf_counter() - began
 
-    def spent(self, name: str) -> float:
+    def cpu_time_s(self, name: str) -> float:
         """Return the processor time that a daemon has used, in seconds."""
         fields = Path(f"/proc/{self.procs[name].pid}/stat").read_text().split()
         return (int(fields[13]) + int(fields[14])) / CLOCK_TICKS_PER_S
@@ -167,7 +167,7 @@
         found = re.search(r"VmRSS:\s+(\d+)", text)
         return int(found.group(1)) / 1024 if found else 0.0
 
-    async def sent(self, name: str) -> int:
+    async def sent_bytes(self, name: str) -> int:
         """Return the bytes that a daemon has sent to its peers."""
         text = (await self.send_request(name, "GET", "/metrics")).body.decode()
         found = re.findall(r"^siskinroad_peer_sent_bytes\{.*\} (\S+)$", text, re.M)
@@ -180,22 +180,25 @@
             proc.wait()
 
 
-async def measure_at_rest(daemons: int) -> dict[str, Any]:
-    """Measure the cost of an idle daemon in a group of this size."""
+async def measure_idle_daemons(daemons: int) -> dict[str, Any]:
+    """Measure the costs of idle daemons in a group of ``daemons``."""
     with tempfile.TemporaryDirectory() as folder:
         group = DaemonGroup(daemons, Path(folder))
         try:
             await group.start_all()
             await group.apply_cell(group.text)
             await asyncio.sleep(8.0)
-            spent = {name: group.spent(name) for name in group.names}
-            sent = {name: await group.sent(name) for name in group.names}
+            cpu_time_s = {name: group.cpu_time_s(name) for name in group.names}
+            sent_bytes = {name: await group.sent_bytes(name) for name in group.names}
             began = time.perf_counter()
             await asyncio.sleep(IDLE_TIME_S)
             elapsed_s = time.perf_counter() - began
-            core_shares = [(group.spent(n) - spent[n]) / elapsed_s for n in group.names]
+            core_shares = [
+                (group.cpu_time_s(n) - cpu_time_s[n]) / elapsed_s for n in group.names
+            ]
             sent_rates = [
-                (await group.sent(n) - sent[n]) / elapsed_s for n in group.names
+                (await group.sent_bytes(n) - sent_bytes[n]) / elapsed_s
+                for n in group.names
             ]
             resident_mb = [group.read_resident_mb(name) for name in group.names]
             change_s = await group.apply_cell(group.text + "# changed\n")
@@ -214,7 +217,7 @@
     }
 
 
-# A request that a daemon proxies to a host, compared with a direct one
+# Requests that a daemon proxies to a host, compared with direct ones
 
 
 def _run_echo_host(pipe: Any) -> None:
@@ -236,7 +239,7 @@
 async def _measure_rate(
     address: str, target: str, size: int, concurrency: int, seconds: float
 ):
-    """Keep so many requests open; return their times in s and their rate a second."""
+    """Keep ``concurrency`` requests open; return times in s and requests a second."""
     pool = HttpPool(concurrency)
     body = b"x" * size
     times: list[float] = []
@@ -258,7 +261,7 @@
 async def _measure_latencies(
     address: str, target: str, size: int, rate: float, seconds: float
 ):
-    """Send requests at a fixed rate a second; return their times in s."""
+    """Send ``rate`` requests a second; return their times in s."""
     pool = HttpPool(64)
     body = b"x" * size
     times: list[float] = []
@@ -330,7 +333,7 @@
         name = "carried.json"
     else:
         sizes = [int(argument) for argument in arguments] or [1, 7, 21, 70]
-        rows = [asyncio.run(measure_at_rest(size)) for size in sizes]
+        rows = [asyncio.run(measure_idle_daemons(size)) for size in sizes]
         name = "processes.json"
     print(format_table(list(rows[0]), rows))
     (ROOT / "docs" / name).write_text(json.dumps(rows, indent=1) + "\n")
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -35,7 +35,7 @@
 )
 from siskinroad.scheduler import Scheduler
 
-OUT = Path(__file__).parent.parent / "docs" / "slopes.json"
+OUTPUT_PATH = Path(__file__).parent.parent / "docs" / "slopes.json"
 SEED = 1
 
 
@@ -92,7 +92,7 @@
 
 
 def measure_memory_slopes() -> dict[str, Any]:
-    """Measure the bytes that one more of each kind of state takes."""
+    """Measure the bytes that each kind of state takes per instance."""
     builders: dict[str, tuple[Callable[[int], object], list[int]]] = {
         "host in the cell file": (
             lambda n: parse_cell(_make_cell_text(n)),
@@ -118,7 +118,7 @@
 
 
 def _make_sizes(first: int) -> list[int]:
-    """Return five sizes that double, so that the last is 16 times the first."""
+    """Return five sizes, each twice the one before."""
     return [first * 2**i for i in range(5)]
 
 
@@ -190,9 +190,9 @@
         two_updates,
         True,
     )
-    old = _make_cell_text(4500, 58)
-    new = old.replace("weight = 3", "weight = 4", 1)
-    delta = make_delta(old, new)
+    old_text = _make_cell_text(4500, 58)
+    new_text = old_text.replace("weight = 3", "weight = 4", 1)
+    delta = make_delta(old_text, new_text)
     revision = CellRevision(1200, 1199, delta, "0" * 16, "0" * 20)
     claim = ClaimMade("booking/east-1/0", "east-1a", 1764801000000, 123456789)
     job = JobAccepted("east-1.a-1-1", "recount", "desk", "booking/east-1/0", 1, b"", 9)
@@ -210,12 +210,12 @@
             encode_batch("east-1a", [TasksEnded("east-1.a-1-1", [0], "done")])
         ),
         "change record": len(encode_batch("east-1a", [revision])),
-        "whole cell file": len(old),
+        "whole cell file": len(old_text),
     }
 
 
 async def _measure_idle_rates(peers: int, seconds: float) -> dict[str, float]:
-    """Measure the bytes and messages a second sent, and log requests made, at rest."""
+    """Measure the rates of bytes, messages and log requests of idle daemons."""
     names = [f"east-1{chr(97 + i)}" for i in range(peers + 1)]
     world = World(_make_cell_text(4), names, SEED)
     await world.start_and_configure()
@@ -265,7 +265,7 @@
 
 
 def _count_digest_bytes(world: World) -> int:
-    """Return the digest bytes sent across regions, without relays inside them."""
+    """Count the digest bytes sent across regions, without relays inside a region."""
     total = 0
     for daemon in world.daemons.values():
         total += daemon.periodic.cross_dc_bytes
@@ -292,17 +292,17 @@
     scheduler = _make_scheduler_with_tasks(2000, "recount", 64)
     steps["scheduler tick, 64 hosts"] = lambda: scheduler.tick(1.0)
     for name, step in steps.items():
-        spent = _measure_cpu_time(step)
+        step_time_s = _measure_cpu_time(step)
         found[name] = {
-            "us": round(spent * 1e6, 1),
-            "ratio": round(spent / reference_s, 2),
+            "us": round(step_time_s * 1e6, 1),
+            "ratio": round(step_time_s / reference_s, 2),
         }
     del heartbeat
     return found
 
 
 def _measure_cpu_time(step: Callable[[], object], count: int = 2000) -> float:
-    """Return the processor seconds of one call: the least mean of five series."""
+    """Return the processor seconds of a call: the smallest mean of five series."""
     best = float("inf")
     for _ in range(5):
         began = time.process_time()
@@ -334,7 +334,7 @@
 
 def main() -> int:
     found = measure()
-    OUT.write_text(json.dumps(found, indent=1) + "\n")
+    OUTPUT_PATH.write_text(json.dumps(found, indent=1) + "\n")
     for part in ("memory", "control"):
         for name, row in found[part].items():
             line = f"{row['slope']:12.2f} {row['unit']}, base {row['base']:.1f}"
--- a/bench/soak.py
+++ b/bench/soak.py
@@ -13,16 +13,16 @@
 
 from bench.faults import FAULTS, run_session
 
-# Faults that are not combined with others
+# Faults that do nothing if other faults are injected
 SOLO_FAULTS = {"host_leaves", "rolling_replacement"}
-# Sessions if the command names no number
+# Number of sessions if the command gives none
 DEFAULT_RUNS = 3000
 
 
 def run_seeded_session(seed: int) -> tuple[int, list[str], list[str]]:
     """Run two to four random faults, or one solo fault, under one seed.
 
-    Returns the seed, the faults and the violated invariants.
+    Return the seed, the faults and a message for each violated invariant.
     """
     logging.disable(logging.CRITICAL)
     rng = random.Random(seed)
@@ -33,18 +33,18 @@
     return seed, chosen, run_session(seed, chosen, rng.random() < 0.5)
 
 
-def main(runs: int, first: int) -> int:
+def main(runs: int, first_seed: int) -> int:
     """Print each session that violates an invariant; return the exit code."""
-    violating = 0
+    violating_count = 0
     with ProcessPoolExecutor() as pool:
         for seed, faults, violations in pool.map(
-            run_seeded_session, range(first, first + runs), chunksize=8
+            run_seeded_session, range(first_seed, first_seed + runs), chunksize=8
         ):
             if violations:
-                violating += 1
+                violating_count += 1
                 print(f"seed {seed}: {'+'.join(faults)}: {violations[:3]}", flush=True)
-    print(f"{runs} sessions, {violating} violated an invariant")
-    return 1 if violating else 0
+    print(f"{runs} sessions, {violating_count} violated an invariant")
+    return 1 if violating_count else 0
 
 
 if __name__ == "__main__":
--- a/bench/world.py
+++ b/bench/world.py
@@ -165,8 +165,8 @@
         for name in self.names:
             self.start(name)
 
-    async def publish(self, text: str | None = None) -> None:
-        """Apply a configuration, by default the cell's text, through one daemon."""
+    async def apply_configuration(self, text: str | None = None) -> None:
+        """Apply a cell file through one daemon, by default ``self.text``."""
         daemon = next(iter(self.daemons.values()))
         await daemon.publisher.apply(text or self.text, None)
 
@@ -174,14 +174,14 @@
         await asyncio.sleep(seconds)
 
     async def start_and_configure(self) -> None:
-        """Start all daemons, apply the cell and give shards 6 s to get owners."""
+        """Start all daemons, apply the cell file and wait 6 s for shard owners."""
         await self.start_all()
         await asyncio.sleep(1.0)
-        await self.publish()
+        await self.apply_configuration()
         await self.settle()
 
     def owners(self) -> dict[str, list[str]]:
-        """Return the daemons that may place work, by shard."""
+        """Return the names of the daemons that may place work, by shard."""
         found: dict[str, list[str]] = {}
         for name, daemon in self.daemons.items():
             for shard in daemon.shards.owners:
--- a/packaging/build.py
+++ b/packaging/build.py
@@ -1,4 +1,4 @@
-"""Build of the one-file program and its figures: ``python packaging/build.py``."""
+"""Build and measurement of the one-file program: ``python packaging/build.py``."""
 
 import json
 import os
@@ -13,7 +13,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).parent.parent
-OUT = ROOT / "dist" / "siskinroad"
+OUTPUT_PATH = ROOT / "dist" / "siskinroad"
 # Distributions that go into the archive
 LIBRARIES = (
     "docopt-ng",
@@ -23,7 +23,7 @@
     "python-json-logger",
     "pyzmq",
 )
-# Files of these distributions that are not needed at run time
+# Files of these distributions that the program does not need at run time
 EXCLUDED_FILES = re.compile(
     r"(^|/)(tests|__pycache__|utils/.*\.h)(/|$)|\.(pyi|h|pxd|pyx|c)$"
 )
@@ -46,27 +46,27 @@
 
 def build_program():
     """Write the program as an executable archive; return its size in bytes."""
-    OUT.parent.mkdir(exist_ok=True)
+    OUTPUT_PATH.parent.mkdir(exist_ok=True)
     files = dict(list_archive_files())
-    native_modules = [name for name in files if ".so" in name]
+    native_files = [name for name in files if ".so" in name]
     shared_libraries = sorted(
-        (name for name in native_modules if ".libs/" in name),
+        (name for name in native_files if ".libs/" in name),
         key=lambda name: "sodium" not in name,
     )
-    with open(OUT, "wb") as file:
+    with open(OUTPUT_PATH, "wb") as file:
         file.write(b"#!/usr/bin/env python3\n")
         with zipfile.ZipFile(file, "w", zipfile.ZIP_DEFLATED) as archive:
             for name, path in sorted(files.items()):
                 archive.writestr(zipfile.ZipInfo(name), path.read_bytes())
-            archive.writestr("natives.txt", "\n".join(native_modules))
+            archive.writestr("natives.txt", "\n".join(native_files))
             archive.writestr("preload.txt", "\n".join(shared_libraries))
             archive.write(ROOT / "packaging" / "loader.py", "__main__.py")
-    OUT.chmod(0o755)
-    return OUT.stat().st_size
+    OUTPUT_PATH.chmod(0o755)
+    return OUTPUT_PATH.stat().st_size
 
 
 def measure_program():
-    """Run the program as a daemon in a read-only folder; return its figures.
+    """Run the program as a daemon in a read-only folder; return measurements.
 
     It gets no writable temporary folder, and nothing listens at its platform address.
     """
@@ -84,7 +84,7 @@
         os.chmod(folder, 0o500)
         start_time = time.perf_counter()
         process = subprocess.Popen(
-            [sys.executable, "-I", "-B", str(OUT), "entry", str(settings)],
+            [sys.executable, "-I", "-B", str(OUTPUT_PATH), "entry", str(settings)],
             cwd=folder,
             env={"PATH": "", "TMPDIR": "/nonexistent"},
             stdout=subprocess.DEVNULL,
@@ -93,16 +93,16 @@
         _wait_until_open(operators)
         ready_s = time.perf_counter() - start_time
         time.sleep(2.0)
-        figures = {
+        measurements = {
             "start seconds": round(ready_s, 2),
             "resident MB": round(_read_resident_mb(process.pid), 1),
             "child processes": len(_list_child_processes(process.pid)),
-            "files open for writing": _list_written_files(process.pid),
+            "files open for writing": _list_open_files(process.pid),
         }
         process.send_signal(signal.SIGTERM)
-        figures["exit code"] = process.wait(timeout=30)
+        measurements["exit code"] = process.wait(timeout=30)
         os.chmod(folder, 0o700)
-    return figures
+    return measurements
 
 
 def _wait_until_open(address):
@@ -127,7 +127,7 @@
     return Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
 
 
-def _list_written_files(pid):
+def _list_open_files(pid):
     """Return the open files of a process, apart from memory and device files."""
     links = [os.readlink(link) for link in Path(f"/proc/{pid}/fd").iterdir()]
     return [
--- a/packaging/loader.py
+++ b/packaging/loader.py
@@ -1,4 +1,4 @@
-"""Entry point of the one-file program, which loads native modules from memory.
+"""Entry point of the one-file program, which loads extension modules from memory.
 
 The program is a zip archive from which the interpreter imports. Extension modules
 cannot be mapped from an archive, so each is copied into an anonymous file in memory
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -20,9 +20,9 @@
 from siskinroad.placement import HostIndex
 from siskinroad.shards import OwnedShards
 
-# Faults that do nothing beside another fault.
+# Faults that do nothing if other faults are injected.
 SOLO_FAULTS = {"host_leaves", "rolling_replacement"}
-COMBINABLE = sorted(set(FAULTS) - SOLO_FAULTS)
+COMBINABLE_FAULTS = sorted(set(FAULTS) - SOLO_FAULTS)
 TRIPLE_COUNT = 200
 
 
@@ -30,15 +30,15 @@
     for name in sorted(FAULTS):
         for seed in range(6):
             yield seed, (name,), seed % 2 == 0
-    pairs = itertools.combinations_with_replacement(COMBINABLE, 2)
+    pairs = itertools.combinations_with_replacement(COMBINABLE_FAULTS, 2)
     for seed, pair in enumerate(pairs, 100):
         yield seed, pair, seed % 2 == 0
     rng = random.Random(11)
     for seed in range(1000, 1000 + TRIPLE_COUNT):
-        yield seed, tuple(rng.sample(COMBINABLE, 3)), seed % 2 == 0
+        yield seed, tuple(rng.sample(COMBINABLE_FAULTS, 3)), seed % 2 == 0
 
 
-def _run_one(session):
+def _run_listed_session(session):
     logging.disable(logging.CRITICAL)
     seed, names, fencing = session
     return session, run_session(seed, list(names), fencing)
@@ -48,11 +48,14 @@
     sessions = list(_list_sessions())
     assert len(sessions) >= 500
     with ProcessPoolExecutor() as pool:
-        violated = [x for x in pool.map(_run_one, sessions, chunksize=4) if x[1]]
+        violated = [
+            x for x in pool.map(_run_listed_session, sessions, chunksize=4) if x[1]
+        ]
     assert violated == []
 
 
 def _find_violations(names, seeds=range(6), fencing=False):
+    """Return the violations of the first seed that has any, else an empty string."""
     logging.disable(logging.CRITICAL)
     try:
         for seed in seeds:
@@ -74,19 +77,19 @@
 
 
 def test_checks_detect_a_task_on_two_hosts(monkeypatch):
-    """The leases of a host count as expired at once, so that its tasks start again."""
+    """Task leases expire at once, so that tasks start again while they still run."""
     monkeypatch.setattr(host_monitor, "TASK_LEASE_S", -1.0)
     assert " ran on " in _find_violations(["host_mute"], range(12))
 
 
 def test_checks_detect_swapped_answers(monkeypatch):
-    """A daemon pairs forwarded requests with the replies to earlier ones."""
+    """A daemon answers each forwarded request with the reply to the one before."""
     original_receive = Forwarder.receive_reply
-    last = {}
+    previous = {}
 
     def swap_replies(self, msg):
-        swapped = last.get("msg", msg)
-        last["msg"] = msg
+        swapped = previous.get("msg", msg)
+        previous["msg"] = msg
         return original_receive(self, type(msg)(msg.id, swapped.status, swapped.body))
 
     monkeypatch.setattr(Forwarder, "receive_reply", swap_replies)
