--- a/siskinroad/messages.py
+++ b/siskinroad/messages.py
@@ -2,6 +2,8 @@
 
 from __future__ import annotations
 
+from typing import ClassVar
+
 import msgspec
 
 from siskinroad.codec import msgpack_codec
@@ -148,6 +150,9 @@
 class HostListUpdate(msgspec.Struct, tag="list", frozen=True):
     """Update with the platform's list of the data centre's hosts."""
 
+    # Metrics keep the label of the class's earlier name.
+    METRIC_KIND: ClassVar[str] = "ListNews"
+
     version: str
     hosts: list[ListedHost]
 
@@ -181,6 +186,9 @@
 class ForwardQuery(msgspec.Struct, tag="fask", frozen=True):
     """Query for the reply to a forwarded request that was acknowledged."""
 
+    # Metrics keep the label of the class's earlier name.
+    METRIC_KIND: ClassVar[str] = "ForwardAsk"
+
     name: str
     id: str
 
--- a/siskinroad/peers.py
+++ b/siskinroad/peers.py
@@ -21,6 +21,7 @@
     "PeerTraffic",
     "PeerTransport",
     "Reachability",
+    "get_metric_kind",
 ]
 
 Receiver = Callable[[str, Any], None]
@@ -43,6 +44,15 @@
     SILENT = "silent"
 
 
+def get_metric_kind(message_type: type) -> str:
+    """Return the metric label of a message type.
+
+    It is the attribute ``METRIC_KIND`` where a class keeps the label of an earlier
+    name, and the name of the class elsewhere.
+    """
+    return getattr(message_type, "METRIC_KIND", message_type.__name__)
+
+
 @dataclass(slots=True)
 class PeerTraffic:
     """Counters of the messages and bytes sent and the bytes received.
@@ -63,7 +73,7 @@
 
     def count(self, msg: object, size: int) -> None:
         """Count one sent message of ``size`` bytes."""
-        kind = type(msg).__name__
+        kind = get_metric_kind(type(msg))
         self.messages_sent[kind] = self.messages_sent.get(kind, 0) + 1
         self.bytes_sent[kind] = self.bytes_sent.get(kind, 0) + size
 
--- a/tests/test_messages.py
+++ b/tests/test_messages.py
@@ -1,9 +1,12 @@
+from typing import get_args
+
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from siskinroad.errors import ProtocolError
-from siskinroad.messages import Forward, Heartbeat, decode, encode
+from siskinroad.messages import Forward, Heartbeat, Message, decode, encode
+from siskinroad.peers import get_metric_kind
 from siskinroad.records import decode_batch
 
 
@@ -35,3 +38,29 @@
     assert decode(encode(msg)) == msg
     with pytest.raises(ProtocolError):
         decode(encode(msg)[:-1])
+
+
+def test_messages_are_counted_under_the_labels_that_operators_know():
+    """A renamed message class must not rename a label of the metric of sent bytes.
+
+    The label ``kind`` of ``siskinroad_peer_sent_bytes`` is the class's own name unless
+    the class keeps an earlier one.
+    """
+    labels = {get_metric_kind(message_type) for message_type in get_args(Message)}
+    assert labels == {
+        "Digest",
+        "Forward",
+        "ForwardAck",
+        "ForwardAsk",
+        "Heartbeat",
+        "JobReply",
+        "JobRequest",
+        "ListNews",
+        "LogFetch",
+        "LogRecords",
+        "LogTail",
+        "Reply",
+        "RevisionOffer",
+        "RevisionWanted",
+        "SnapshotWanted",
+    }
